--- a/Source/Core/Gateway/DemandWatch.cpp
+++ b/Source/Core/Gateway/DemandWatch.cpp
@@ -9,14 +9,15 @@
 using Common::TimePoint;
 
 static constexpr double RATE_LIFETIME_SECONDS = 1;
-// Reports of the others are of use for so long.
+// The age up to which reports on the other gateways' demand are used.
 static constexpr Common::Milliseconds TOLD_LIFETIME = Common::Milliseconds(2000);
-// A share of fewer requests a second says little.
+// With fewer arrivals per second, the refused share is too uncertain to be used.
 static constexpr double ARRIVALS_LEAST = 1;
-// How much first a gateway comes that serves less than the others, and at most.
+// The exponent of the fairness weight, which favours a gateway that serves a smaller share than the
+// other gateways, and the maximum of that weight.
 static constexpr double FAIRNESS_POWER = 2;
 static constexpr double FAIRNESS_MOST = 10;
-// Of all requests; so that a gateway that serves nothing can be compared.
+// Added to each served share of all requests, so that a gateway that serves none can be compared.
 static constexpr double SERVED_LEAST = 0.05;
 
 void EventRate::OnEvent(TimePoint now)
@@ -74,7 +75,7 @@
   const Service* watched = Find(service);
   if (watched && now - watched->told_at <= TOLD_LIFETIME && watched->told.near_per_second > 0)
     return watched->told;
-  // Without reports of the others they are taken to get as much.
+  // Without reports, each other gateway is assumed to have as many arrivals as this one.
   const double own = ArrivalsPerSecond(service, now);
   return {own * static_cast<double>(gateways.near),
           own * static_cast<double>(gateways.FarUsersOfTarget()), RefusedShare(service, now)};
--- a/Source/Core/Gateway/DemandWatch.h
+++ b/Source/Core/Gateway/DemandWatch.h
@@ -9,11 +9,11 @@
 #include "Core/Gateway/Target.h"
 #include "Core/Gateway/TargetReach.h"
 
-// How many requests come to this gateway and to those that send to the same targets, and how many
-// are refused.
+// Tracks the rates of arrivals and refusals at this gateway, and at all gateways that send to the
+// same targets.
 namespace Holdpost::Gateway
 {
-// Events a second, of about the last second.
+// A rate of events per second, averaged over about the last second.
 class EventRate
 {
 public:
@@ -30,15 +30,18 @@
 public:
   void OnArrival(const std::string& service, Common::TimePoint now);
   void OnRefused(const std::string& service, Common::TimePoint now);
-  // What the agent beside a target of the own hall says of the gateways that send there.
+  // Records the demand at the gateways that send to a target of this hall, as the target's agent
+  // reports it.
   void OnTold(const std::string& service, const GatewayDemand& demand, Common::TimePoint now);
 
   double ArrivalsPerSecond(const std::string& service, Common::TimePoint now) const;
   double RefusedShare(const std::string& service, Common::TimePoint now) const;
-  // What comes to all gateways of the hall and to those of others that send to one target here.
+  // The demand at all gateways of this hall, and at the gateways of other halls that send to one
+  // target of this hall.
   GatewayDemand Around(const std::string& service, const GatewayCounts& gateways,
                        Common::TimePoint now) const;
-  // Over 1 if this gateway refuses more than the others do, so that it comes first.
+  // The weight of this gateway's requests in admission: above 1 if it refuses a larger share than
+  // the other gateways, so that its requests are admitted more often.
   double FairnessWeight(const std::string& service, Common::TimePoint now) const;
 
 private:
--- a/Source/Core/Gateway/EngineCorrection.cpp
+++ b/Source/Core/Gateway/EngineCorrection.cpp
@@ -5,12 +5,12 @@
 
 namespace Holdpost::Gateway
 {
-// Fewer starts than this say nothing.
+// The minimum number of starts before a correction is applied.
 static constexpr std::size_t STARTS_LEAST = 8;
-// Published times are believed within this factor either way: the first event of a batch comes up
-// to half a pass sooner or later than on average.
+// Published times count as correct within this factor in both directions: the first event of a
+// batch arrives up to half a pass earlier or later than the average.
 static constexpr double BELIEVED_WITHIN = 1.25;
-// Times that are wrong by more are another mistake, as of units.
+// A larger error of the published times has another cause, such as a wrong unit.
 static constexpr double FACTOR_MOST = 32;
 
 void EngineCorrection::OnStart(Common::Duration published, Common::Duration took)
--- a/Source/Core/Gateway/EngineCorrection.h
+++ b/Source/Core/Gateway/EngineCorrection.h
@@ -7,23 +7,25 @@
 #include "Common/Types.h"
 #include "Core/Settings/Document.h"
 
-// What the starts of answers show of an engine's published times. Times that are published wrongly
-// would let a gateway refuse what could begin in time, or send what cannot.
+// Measures by how much an engine's published times differ from the times at which its answers
+// start. With wrong published times a gateway would refuse requests that can start in time, or send
+// requests that cannot.
 namespace Holdpost::Gateway
 {
 class EngineCorrection
 {
 public:
-  // A request began after `took`, where the published times foretold `published`.
+  // Records that an answer started after `took`, where the published times predict `published`.
   void OnStart(Common::Duration published, Common::Duration took);
-  // What the published times are to be multiplied by.
+  // The factor by which the published times have to be multiplied.
   double Factor() const { return m_factor; }
-  // Whether a change of the factor is worth a line in the log.
+  // Whether a change of the factor is large enough for a log event.
   static bool IsNotable(double before, double after);
 
 private:
-  // Of the last starts: the median of so many is within a tenth of the true one while single ones
-  // differ by half, and a gateway with 16 starts a second sees them all in two seconds.
+  // The number of most recent starts whose ratios are kept. The median of this many ratios is
+  // within a tenth of the true value while single ratios differ by half, and a gateway with 16
+  // starts per second collects this many in about two seconds.
   static constexpr std::size_t STARTS_KEPT = 33;
 
   std::array<double, STARTS_KEPT> m_ratios{};
@@ -31,6 +33,6 @@
   double m_factor = 1;
 };
 
-// The profile with all of its times multiplied by the factor.
+// Returns the profile with all its times multiplied by the factor.
 Settings::EngineProfile Corrected(const Settings::EngineProfile& published, double factor);
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/SpreadChoice.cpp
+++ b/Source/Core/Gateway/SpreadChoice.cpp
@@ -7,7 +7,8 @@
 {
 using Common::Duration;
 
-// The cost up to which the volume fills the cheapest of them. Sorts the costs.
+// The cost level that the cheapest options reach when the volume is added to them (water filling).
+// Sorts the costs.
 static double FillLevel(std::vector<double>& costs, double volume)
 {
   std::ranges::sort(costs);
@@ -28,8 +29,8 @@
   return static_cast<double>(time.count());
 }
 
-// What gateways of other halls place with targets of this one: they come for what is cheaper than
-// all that is near to them.
+// The volume that gateways of other halls send to targets of this hall. They choose a target here
+// only if it is cheaper for them than all targets in their own halls.
 static double VolumeFromFar(const std::vector<SpreadOption>& options, const Spread& spread)
 {
   if (spread.far_arrivals <= 0)
--- a/Source/Core/Gateway/SpreadChoice.h
+++ b/Source/Core/Gateway/SpreadChoice.h
@@ -6,40 +6,43 @@
 
 #include "Common/Types.h"
 
-// Chooses between targets whose costs come from reports that other gateways have, too. If all took
-// the cheapest one, it would get every request until the next reports.
+// Chooses between targets whose costs come from load reports that other gateways receive, too. If
+// all gateways chose the cheapest target, it would get every request until the next reports arrive.
 namespace Holdpost::Gateway
 {
 struct SpreadOption
 {
-  // As this gateway sees it.
+  // The cost of the target for this gateway.
   Common::Duration cost{};
-  // In the own hall; to gateways of other halls it costs the penalty more.
+  // Whether the target is in this gateway's hall. For gateways of other halls, such a target costs
+  // the penalty more.
   bool is_near = true;
 };
 
 struct Spread
 {
-  // Requests that gateways of the own hall and of others are expected to place meanwhile.
+  // Requests that gateways of this hall, and of other halls, are expected to send before the next
+  // reports arrive.
   double near_arrivals = 0;
   double far_arrivals = 0;
-  // By how much one request raises the cost of its target.
+  // How much one request increases the cost of its target.
   Common::Duration cost_of_one{};
-  // What a target in another hall costs more.
+  // How much more a target in another hall costs.
   Common::Duration far_penalty{};
-  // What each target works off until these have come.
+  // The work that each target finishes before these requests arrive.
   Common::Duration worked_off{};
 };
 
-// The part of the arrivals, this request among them, that the options take before each of them
-// costs more than `limit`. Gateways that see the same costs send no more than that part of what
-// they have, or all would be late.
+// The share of the expected requests, including the one to be sent, that the options can accept
+// before the cost of each option exceeds `limit`. Gateways that see the same costs send at most
+// this share of their requests; otherwise all requests would be late.
 double AdmittedPart(const std::vector<SpreadOption>& options, const Spread& spread,
                     Common::Duration limit);
 
-// The index of an option: likelier the more of the arrivals it takes until all options that take
-// any cost the same. Without arrivals the cheapest one. `draw` is uniform from 0 to 1. There is at
-// least one option.
+// Chooses an option at random and returns its index. The probability of an option is its share of
+// the expected requests when these are distributed so that all options in use end up with the same
+// cost. Without expected requests it is the cheapest option. `draw` is uniformly distributed from 0
+// to 1. `options` must not be empty.
 std::size_t ChooseSpread(const std::vector<SpreadOption>& options, const Spread& spread,
                          double draw);
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/StartEstimate.cpp
+++ b/Source/Core/Gateway/StartEstimate.cpp
@@ -11,7 +11,7 @@
 static constexpr double PER_THOUSAND = 1000.0;
 static constexpr double PER_MILLION = 1e6;
 
-// All sequences advance by one event in a pass.
+// In one pass, all sequences advance by one event.
 static double PassMs(const EngineProfile& engine, double sequences)
 {
   const double context =
@@ -33,7 +33,8 @@
       std::chrono::duration<double, std::milli>(ms));
 }
 
-// A sequence writes in one of the slots, and all others wait while its prompt is read.
+// A sequence generates its answer in one of the slots. All other sequences wait while its prompt is
+// processed.
 static double EngineMs(const EngineProfile& engine, double prompt_tokens, double answer_tokens)
 {
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
@@ -87,7 +88,8 @@
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const double sequences = std::min(work.requests + 1, slots);
   const double pass = PassMs(engine, sequences);
-  // Half a pass until the engine looks for new requests, then the reading, then a pass.
+  // On average half a pass until the engine looks for new requests, then the processing of the
+  // prompt, then one pass.
   double ms = 1.5 * pass + ReadMs(engine, prompt_tokens) +
               work.unread_prompt_tokens / std::max(engine.prompt_tokens_per_ms, 1e-3);
   if (work.requests >= slots)
--- a/Source/Core/Gateway/StartEstimate.h
+++ b/Source/Core/Gateway/StartEstimate.h
@@ -6,17 +6,18 @@
 #include "Common/Types.h"
 #include "Core/Settings/Document.h"
 
-// Predicts when a model engine would send the first event of a request, from its published times.
+// Predicts when a model engine sends the first event of an answer, based on the engine's published
+// times.
 namespace Holdpost::Gateway
 {
-// What a target has to do already.
+// The work that a target already has.
 struct TargetWork
 {
-  // Requests that run or wait there.
+  // Requests that run or wait at the target.
   double requests = 0;
-  // Prompt tokens of requests whose first event has not come.
+  // Prompt tokens of requests whose first event has not arrived.
   double unread_prompt_tokens = 0;
-  // How much slower than its profile it is.
+  // Factor by which the target is slower than its engine profile.
   double pace = 1;
 };
 
@@ -26,16 +27,16 @@
 // Time from the first event to the last one.
 Common::Duration ExpectedWriting(const Settings::EngineProfile& engine, const TargetWork& work,
                                  std::uint32_t answer_tokens);
-// What a request takes of a full engine's time.
+// The part of a full engine's time that a request uses.
 Common::Duration EngineTime(const Settings::EngineProfile& engine, std::uint32_t prompt_tokens,
                             std::uint32_t answer_tokens);
-// Mean time between two requests that end on a full engine: a waiting request gets its slot after
-// as many of these as there are requests before it.
+// Mean time between the ends of two consecutive requests on a full engine. A waiting request gets
+// its slot after this interval times the number of requests ahead of it.
 Common::Duration SlotInterval(const Settings::EngineProfile& engine, double pace);
-// A pass of an engine whose slots are all taken.
+// The duration of one pass of an engine whose slots are all in use.
 Common::Duration PassTime(const Settings::EngineProfile& engine);
-// By how much one more usual request puts off the start of the next one: by its reading while slots
-// are free, by the whole time that it takes of the engine when all are taken.
+// How long one more request of usual size delays the start of the next request: by the processing
+// of its prompt while slots are free, and by all the engine time that it uses when no slot is free.
 Common::Duration StartDelayOfOne(const Settings::EngineProfile& engine, double requests,
                                  double pace);
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/Target.h
+++ b/Source/Core/Gateway/Target.h
@@ -7,20 +7,22 @@
 
 #include "Common/Types.h"
 
-// What a gateway is told of the targets that it calls directly.
+// The state of the targets that a gateway calls directly, and of the gateways that send to them, as
+// instances report it to each other.
 namespace Holdpost::Gateway
 {
-// Found nowhere else. A target may start again under its id: it then knows nothing of before.
+// Unique among all targets. A target may restart under the same id; the new incarnation then has no
+// state of the earlier one.
 using TargetId = std::string;
 
 enum class TargetState
 {
   Ready,
-  // Takes no new requests; those that run go on.
+  // Accepts no new requests; its running requests continue.
   Leaving,
 };
 
-// One line of the platform's list of targets.
+// One entry of the platform's target list.
 struct ListedTarget
 {
   TargetId id;
@@ -29,68 +31,74 @@
   Common::Address address;
   std::uint32_t slots = 1;
   TargetState state = TargetState::Ready;
-  // The version of its weights; 0 while it has none, or is a plain service.
+  // The version of the weights that the target has loaded; 0 while it has loaded none, or if its
+  // service has no weights.
   std::uint64_t weights_version = 0;
   bool needs_weights = false;
-  // Grows with each start of the target under its id; 0 if that is not told.
+  // Increases with each start of the target under its id; 0 if the platform does not report it.
   std::uint64_t incarnation = 0;
 
   bool operator==(const ListedTarget&) const = default;
 };
 
-// What comes to the gateways that send to a target.
+// The demand at all gateways that send to one target.
 struct GatewayDemand
 {
-  // Requests to gateways of its hall and of others.
+  // Arrivals per second at the gateways of the target's hall and at those of other halls.
   double near_per_second = 0;
   double far_per_second = 0;
-  // The part of these that was refused of late.
+  // The share of these requests that the gateways refused recently.
   double refused_share = 0;
 
   bool operator==(const GatewayDemand&) const = default;
 };
 
-// What the agent beside a target says of it.
+// A load report on a target, made by the agent that runs beside it.
 struct TargetLoad
 {
-  Common::Address address; // of the target
-  // Empty if the agent does not know it.
+  Common::Address address; // the target's address
+  // Empty if the agent does not know the target's id.
   TargetId id = {};
-  // The incarnation of the target that this is about; 0 if it is not told.
+  // The incarnation of the target that the report describes; 0 if the agent does not report it.
   std::uint64_t incarnation = 0;
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
-  // Prompt tokens of requests that have not begun, as gateways told; empty if none did.
+  // Prompt tokens of requests whose answers have not started, as gateways announced them; empty if
+  // no gateway announced any.
   std::optional<std::uint32_t> unread_prompt_tokens;
   std::uint64_t weights_version = 0;
-  // The target is about to load other weights, or loads them, and takes nothing new.
+  // The target is about to load another version of its weights, or is loading it, and accepts no
+  // new requests.
   bool is_switching = false;
-  // The version that it takes; 0 while it takes none, or if that is not known.
+  // The version that the target switches to; 0 while it does not switch, or if the version is not
+  // known.
   std::uint64_t next_version = 0;
-  // The target is going to take other weights then: what it begins has to end before.
+  // Time until the target's planned switch to another version of its weights. A request that starts
+  // before the switch has to end before it.
   std::optional<Common::Milliseconds> switch_in;
-  // How much slower than its profile it is; 1 is as expected.
+  // Factor by which the target is slower than its engine profile; 1 is the speed of the profile.
   double pace = 1;
-  // How long a message to the target may wait on a link that is narrower than it should be.
+  // How long a message to the target may be queued on a link that has less bandwidth than it should
+  // have.
   Common::Milliseconds inbound_delay{0};
-  // How long the way there and back takes at the moment.
+  // The current network round-trip time.
   Common::Milliseconds round_trip{0};
   GatewayDemand demand;
 
   bool operator==(const TargetLoad&) const = default;
 };
 
-// What a gateway has at a target.
+// The unfinished work that one gateway has at a target.
 struct OwnWork
 {
   std::uint32_t requests = 0;
-  // Of those that have not begun.
+  // Prompt tokens of the requests whose answers have not started.
   std::uint32_t unread_prompt_tokens = 0;
 
   bool operator==(const OwnWork&) const = default;
 };
 
-// What comes to one gateway.
+// The demand at one gateway.
 struct OwnDemand
 {
   double arrivals_per_second = 0;
--- a/Source/Core/Gateway/TargetChoosing.cpp
+++ b/Source/Core/Gateway/TargetChoosing.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <utility>
 
-// What is expected of each target, and the choice between them.
+// Estimates when each target would start a request, and chooses between the targets.
 namespace Holdpost::Gateway
 {
 using Common::Duration;
@@ -13,43 +13,48 @@
 using Common::TimePoint;
 using Settings::EngineProfile;
 
-// What a target in another hall has to be faster by, so that traffic stays where it is cheap.
+// Added to the cost of a target in another hall, so that traffic stays in the same hall, where it
+// is cheap.
 static constexpr Duration OTHER_HALL_PENALTY = Milliseconds(10);
-// The same for one of which the last report is old. Reports from other halls come each second until
-// they are needed: the targets that looked idle half a second ago are by now as busy as the others,
-// and all gateways that read the same reports send there.
+// Added to the cost of a target whose last load report is old. Agents of other halls report once a
+// second until their targets are needed: a target that looked idle half a second ago is by now as
+// busy as the others, because all gateways that read the same reports send requests to it.
 static constexpr Duration OLD_REPORT_PENALTY = Milliseconds(150);
 static constexpr Duration OLD_REPORT_AGE = Milliseconds(250);
-// The same for one whose agent is silent.
+// Added to the cost of a target whose agent has stopped reporting.
 static constexpr Duration SILENCE_PENALTY = Milliseconds(400);
-// A request begins up to so much later than twice the expected time: shortly before a bound many
-// gateways send to the few targets that may still be used, and know little of each other.
+// A request may start later than twice its expected start time by up to this margin: shortly before
+// a switch deadline, many gateways send to the few targets that may still be used, and know little
+// of each other's requests.
 static constexpr Duration START_MARGIN = Milliseconds(400);
 static constexpr Duration START_MARGIN_UNREPORTED = Milliseconds(2000);
-// Where no report comes through, requests may be on their way for seconds.
+// The margin for a target from which no report arrives: requests to it may be in transit for
+// seconds.
 static constexpr Duration START_MARGIN_SILENT = Milliseconds(4000);
-// What others have sent since the last report is not known for so long: their message is on its way
-// to the agent, which reports not more often than each 10 ms, and its report on the way back. With
-// less, gateways that see the same idle target send more there than it can begin.
+// How long the requests that other gateways send are missing from the load reports: their message
+// travels to the agent, the agent reports at most once every 10 ms, and its report travels back.
+// With a shorter time, gateways that see the same idle target send more requests there than it can
+// start.
 static constexpr Duration BLIND_TIME = Milliseconds(25);
-// While an engine writes, too, it reads prompts at this part of its speed.
+// While an engine also generates answers, it processes prompts at this share of its full speed.
 static constexpr double READING_SHARE = 0.3;
-// Other halls are looked at while the best target here would begin this much later than an idle
-// one, and for a while after that.
+// Targets in other halls are considered while the best target of this hall would start a request
+// later than an idle target by more than this factor, and for CROWDED_TIME after that.
 static constexpr double CROWDED_RATIO = 1.6;
 static constexpr Duration CROWDED_TIME = Milliseconds(1500);
-// Holding up a target's switch costs the others' requests a part of the delay. With a larger part
-// the engine runs half empty before its switch; with none, long answers hold up switches until the
-// bound.
+// The divisor of the delay by which a request would hold up a target's switch: this fraction of the
+// delay is the cost for other requests. With a larger fraction the engine runs half empty before
+// its switch; with none, long answers hold up switches until the switch deadline.
 static constexpr int SWITCH_DELAY_SHARE = 6;
-// What was learnt of a target's lag fades in about this time.
+// The time constant of the exponential decay of a target's measured lag.
 static constexpr double LAG_LIFETIME_SECONDS = 2;
-// When there is no room for all, requests that take less of an engine's time than usual come a
-// little sooner. With wider limits the largest ones are served least.
+// Limits of the weight that a request's size has in its admission. When capacity is short, requests
+// that need less engine time than usual are admitted slightly more often. With wider limits the
+// largest requests are served least.
 static constexpr double SIZE_WEIGHT_LEAST = 0.9;
 static constexpr double SIZE_WEIGHT_MOST = 1.5;
-// Failures in a row that may be the requests' own: a target is used in spite of them if there is no
-// other one.
+// Consecutive failures that the requests themselves may have caused: a target with no more failures
+// than this is used in spite of them if there is no other target.
 static constexpr std::uint32_t FAILURES_BORNE = 2;
 
 TargetWork TargetTable::WorkOf(const Target& target, const EngineProfile& engine,
@@ -67,7 +72,8 @@
         std::max(*target.load->unread_prompt_tokens - read, 0.0) + target.unread_since_load;
     return work;
   }
-  // Of the requests that wait there, those that are not this gateway's have to be read, too.
+  // The prompts of the requests that other gateways have waiting at the target have to be
+  // processed, too.
   const auto own = static_cast<double>(target.own_waiting_at_load);
   const double others = std::max(0.0, target.load->queued - own);
   work.unread_prompt_tokens += others * engine.usual_prompt_tokens;
@@ -82,8 +88,9 @@
     return {};
   const GatewayDemand demand = m_demand.Around(wish.service, m_gateways, now);
   const double own = m_demand.ArrivalsPerSecond(wish.service, now);
-  // What a gateway is about to send for each request a second that comes to it: what came since the
-  // last report of the targets, and what waits, as any report of room sets it off.
+  // For each arrival per second at a gateway, the number of requests that it is about to send: the
+  // arrivals since the last reports of the targets, and the waiting requests, because any report of
+  // free capacity triggers their dispatch.
   const double blind_seconds = std::chrono::duration<double>(BLIND_TIME).count();
   const double for_each = blind_seconds + static_cast<double>(wish.waiting) / std::max(own, 1.0);
   return {std::max(demand.near_per_second - own, 0.0) * for_each, demand.far_per_second * for_each,
@@ -95,7 +102,8 @@
 {
   if (!target.listed.needs_weights)
     return PlainLoadOf(target, now);
-  // Without reports of its agent the others are taken to send as much as this gateway.
+  // Without fresh reports from the target's agent, each other gateway is assumed to send as much as
+  // this gateway.
   if (!HasFreshLoad(target, now))
     return static_cast<double>(target.own) * static_cast<double>(m_gateways.all);
   const double total = target.load->running + target.load->queued;
@@ -173,7 +181,7 @@
   const double age = std::chrono::duration<double>(now - target.lag_updated).count();
   const Duration learnt =
       std::chrono::duration_cast<Duration>(target.lag * std::exp(-age / LAG_LIFETIME_SECONDS));
-  // One that is overdue at this moment says more than those that came.
+  // An answer that is overdue now says more than the answers that arrived.
   Duration overdue{};
   for (const auto& [request, expected] : target.expected)
     overdue = std::max(overdue, now - expected);
--- a/Source/Core/Gateway/TargetListing.cpp
+++ b/Source/Core/Gateway/TargetListing.cpp
@@ -7,8 +7,8 @@
 #include "Common/EventLog.h"
 #include "Common/Hash.h"
 
-// Which targets there are: by the platform's list, and by reports of engines that have started
-// again.
+// The set of known targets. It comes from the platform's target list, and from reports of engines
+// that have restarted.
 namespace Holdpost::Gateway
 {
 using Common::Duration;
@@ -17,9 +17,11 @@
 using Common::TimePoint;
 using Common::Weight;
 
-// A target of which its agent tells is on the platform's list within so long, or it is not there.
+// The time within which a target that only its agent has reported has to appear on the platform's
+// target list. After that, the target is removed.
 static constexpr Duration LISTED_WITHIN = Milliseconds(5000);
-// A target that has left the list may go on answering for so long, and get nothing new.
+// The time for which a target that has left the target list may continue to answer; it gets no new
+// requests.
 static constexpr Duration GONE_LIFETIME = std::chrono::minutes(2);
 static constexpr std::uint64_t TIE_BREAK_MOST_NS = 1000;
 
@@ -52,7 +54,8 @@
     target.reported_at.reset();
     if (listed.incarnation < target.listed.incarnation)
       continue;
-    // Also if it was off the list meanwhile, and was kept for the requests that it had.
+    // This also holds if the target was absent from the list in the meantime and was kept because
+    // of its unfinished requests.
     const std::uint64_t known = target.listed.incarnation;
     const bool is_new_incarnation = known > 0 && listed.incarnation > known;
     if (is_new_incarnation)
--- a/Source/Core/Gateway/TargetReach.cpp
+++ b/Source/Core/Gateway/TargetReach.cpp
@@ -9,10 +9,12 @@
 
 namespace Holdpost::Gateway
 {
-// About so many gateways of its own hall, and of all others, use a target.
+// The approximate number of gateways that use one target: from its own hall, and from all other
+// halls together.
 static constexpr std::size_t NEAR_GATEWAYS_OF_TARGET = 16;
 static constexpr std::size_t FAR_GATEWAYS_OF_TARGET = 8;
-// A gateway uses at least so many targets of a hall, or all.
+// The minimum number of targets that a gateway uses in its own hall and in each other hall, or all
+// targets if the hall has fewer.
 static constexpr std::size_t NEAR_LEAST = 16;
 static constexpr std::size_t FAR_LEAST = 4;
 
@@ -21,7 +23,7 @@
   return std::min(all - std::min(all, near), FAR_GATEWAYS_OF_TARGET);
 }
 
-// How many of `targets` each of `gateways` uses, so that `users` of them use each target.
+// How many of `targets` each of `gateways` has to use so that `users` gateways use each target.
 static std::size_t TargetsOfEach(std::size_t targets, std::size_t gateways, std::size_t users,
                                  std::size_t least)
 {
@@ -33,7 +35,8 @@
 std::set<TargetId> TargetReach::Choose(const std::vector<ListedTarget>& list,
                                        const GatewayCounts& gateways) const
 {
-  // By service and hall; each gateway ranks the targets in an order of its own.
+  // Targets by service and hall. Each gateway ranks them in a different order, which its seed
+  // determines.
   using Ranked = std::vector<std::pair<std::uint64_t, TargetId>>;
   std::map<std::pair<std::string, std::string>, Ranked> groups;
   for (const ListedTarget& target : list)
--- a/Source/Core/Gateway/TargetReach.h
+++ b/Source/Core/Gateway/TargetReach.h
@@ -9,28 +9,30 @@
 
 #include "Core/Gateway/Target.h"
 
-// Which targets a gateway sends to as long as it can. Reports that many gateways act on at once are
-// worth little, and each report costs a message: so a target is used by a limited number of
-// gateways, those of its hall first.
+// Limits each gateway to a subset of the targets, to which it sends as long as one of them is
+// available. A load report loses its value when many gateways act on it at once, and each report
+// costs a message: therefore a limited number of gateways uses each target, most of them from the
+// target's hall.
 namespace Holdpost::Gateway
 {
 struct GatewayCounts
 {
   std::size_t all = 1;
-  std::size_t near = 1; // in the own hall, this one included
+  std::size_t near = 1; // gateways of this gateway's hall, including this gateway
 
   bool operator==(const GatewayCounts&) const = default;
-  // About so many gateways of other halls use one target.
+  // The approximate number of gateways of other halls that use one target.
   std::size_t FarUsersOfTarget() const;
 };
 
 class TargetReach
 {
 public:
-  // `seed` differs between gateways, so that each picks others.
+  // `seed` differs between gateways, so that each of them selects a different subset.
   TargetReach(std::string hall, std::uint64_t seed) : m_hall(std::move(hall)), m_seed(seed) {}
 
-  // The targets with engines that are used; other services' are used by all.
+  // The selected targets, of those that need weights. Targets of other services are not selected:
+  // every gateway uses all of them.
   std::set<TargetId> Choose(const std::vector<ListedTarget>& list,
                             const GatewayCounts& gateways) const;
 
--- a/Source/Core/Gateway/TargetTable.cpp
+++ b/Source/Core/Gateway/TargetTable.cpp
@@ -17,26 +17,30 @@
 using Common::Weight;
 using Settings::EngineProfile;
 
-// A report older than this says nothing of the present.
+// The age up to which a load report is taken as the target's current state.
 static constexpr Duration LOAD_LIFETIME = Milliseconds(2000);
-// A target that has failed is left alone, twice as long each time in a row.
+// How long a target is avoided after its first failure. The time doubles with each consecutive
+// failure, AVOID_DOUBLINGS times at most.
 static constexpr Duration AVOID_LEAST = Milliseconds(250);
 static constexpr std::uint32_t AVOID_DOUBLINGS = 4;
-// A target that said it is full is left alone until it has probably ended a request.
+// A target that has answered that it is full is avoided until it has probably finished a request.
 static constexpr Duration FULL_PAUSE = Milliseconds(60);
-// After a start of all machines the list names engines that have ended, until their records lapse
-// after three heartbeats of 1.2 s. Their agents report the engines that took their places, or
-// nothing.
+// After a start of all machines, the target list names engines that have ended, until their records
+// lapse after three heartbeats of 1.2 s. Their agents report the engines that replaced them, or do
+// not report. For this time, a listed target without a report gets no requests while other agents
+// report.
 static constexpr Duration UNREPORTED_MOST = Milliseconds(4000);
-// Agents report several times a second: one that is silent for so long may be cut off, and its
-// target with it. Such a target is left alone for longer once a request could not be sent there.
+// Agents report several times a second: an agent that has been silent for this time may be
+// disconnected, and its target with it. Such a target is avoided for longer once a request could
+// not be sent to it.
 static constexpr Duration SILENT_AFTER = Milliseconds(800);
 static constexpr Duration AVOID_SILENT = Milliseconds(2000);
-// Each answer moves the known lag by this part of what it was late.
+// The divisor of an answer's lateness: each answer changes the target's lag by this fraction of it.
 static constexpr int LAG_SHARE = 4;
-// An answer of an engine is not late before that: its passes begin at any moment.
+// The minimum of an engine's expected start time: no answer counts as late before it, because the
+// time until the engine's next pass starts varies.
 static constexpr Duration EXPECTED_LEAST = Milliseconds(150);
-// The same for a plain service, of which some answers take several times as long as most.
+// The same minimum for a plain service, of which some answers take several times as long as most.
 static constexpr Duration PLAIN_EXPECTED_LEAST = Milliseconds(50);
 
 bool TargetTable::IsSameIncarnation(const TargetId& id, std::uint64_t incarnation) const
@@ -119,7 +123,7 @@
     target.own_at_load = target.own;
     target.unread_since_load = 0;
     target.own_waiting_at_load = target.expected.size();
-    // Its agent reports again, so the way there is open.
+    // The target's agent reports again, so the network path to it works.
     if (IsSilent(target, now))
       target.avoid_until = std::min(target.avoid_until, now);
     target.load = load;
@@ -224,7 +228,8 @@
   const auto expected = target.expected.extract(request);
   if (!expected)
     return;
-  // What was expected held the lag of that time already, so this is what comes on top of it.
+  // The expected time already included the lag at the time of the dispatch, so the lateness adds to
+  // it.
   const Duration before = LagOf(target, now);
   const Duration late = now - expected.mapped();
   target.lag = std::max<Duration>(before + late / LAG_SHARE, Duration::zero());
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -20,34 +20,34 @@
 #include "Core/Gateway/Target.h"
 #include "Core/Gateway/TargetReach.h"
 
-// The targets that a gateway may call, what it knows of their load and health, and the choice
-// between them.
+// The targets that a gateway may call, their load and health as far as they are known, and the
+// choice between them.
 namespace Holdpost::Gateway
 {
-// Weights that every request has to begin on from a time on.
+// A version of the weights that every request has to start with from a switch deadline on.
 struct WeightsBound
 {
   std::uint64_t version = 0;
   Common::TimePoint due = Common::TimePoint::max();
   Control::KnownSince since = {};
-  // Requests that may begin on older weights are looked for until then.
+  // The gateway looks for sent requests that may start with older weights until this time.
   Common::TimePoint sweep_until = {};
 };
 
-// A request that looks for a target.
+// The properties of a request for which a target is needed.
 struct TargetWish
 {
   std::string service;
   std::uint32_t prompt_tokens = 0;
-  // As the caller guesses, or the most.
+  // The length of the answer as the caller estimates it, or the maximum.
   std::uint32_t answer_tokens = 0;
-  // Targets that had it already.
+  // Targets to which the request has been sent already.
   std::set<TargetId> tried;
-  // Weights that are bound to be in use, the one due first in front.
+  // Versions of the weights with a switch deadline, in the order of their deadlines.
   std::vector<WeightsBound> weights;
-  // How many others wait for the service at this gateway.
+  // How many other requests wait for the service at this gateway.
   std::size_t waiting = 0;
-  // A start later than that is of no use.
+  // The maximum time until the start: a later start is useless.
   std::optional<Common::Duration> start_most = std::nullopt;
 };
 
@@ -56,94 +56,103 @@
   TargetId id;
   Common::Address address;
   std::uint64_t weights_version = 0;
-  // Until the first event, or the answer.
+  // Expected time until the first event, or until the answer.
   Common::Duration expected_start{};
-  // What the engine's published times alone foretell; zero if it has none. Compared with what
-  // comes, it shows whether these times are right.
+  // The expected start time according to the engine's published times alone; zero if the service
+  // has none. The difference from the measured start time shows whether the published times are
+  // correct.
   Common::Duration published_start{};
-  // Requests there, as far as is known.
+  // Requests at the target, as far as is known.
   double load = 0;
-  // How old the last report of it is; empty if there was none.
+  // The age of the last load report on the target; empty if there was none.
   std::optional<Common::Duration> report_age;
   bool has_free_slot = false;
-  // The incarnation of the target that is meant.
+  // The incarnation of the chosen target.
   std::uint64_t incarnation = 0;
 };
 
-// What there is for a request at the moment.
+// The capacity that a service has for a request at present.
 struct ServiceRoom
 {
-  // When the best target would begin it; below zero if there is none.
+  // Time until the best target would start the request; negative if there is no target.
   Common::Duration best_start = Common::Milliseconds(-1);
-  // The part of all that is about to be sent that can begin in time.
+  // The share of all requests that are about to be sent that can start in time.
   double admitted_part = 0;
-  // What comes to the gateways that send to the same targets.
+  // The demand at the gateways that send to the same targets.
   GatewayDemand demand;
 };
 
-// Why targets of a service take no requests, or not this one. Each listed target counts once.
+// Counts the targets of a service by whether they accept a request, and if not, by the reason. Each
+// listed target counts once.
 struct TargetSurvey
 {
   std::uint32_t listed = 0;
   std::uint32_t open = 0;
   std::uint32_t leaving = 0;
-  // Failed, or said that they have no room, a moment ago.
+  // Targets that recently failed, or answered that they are full.
   std::uint32_t avoided = 0;
-  // Take other weights now, and the requests that they can run then, for each gateway.
+  // Targets that are switching to another version of the weights, and their capacity after the
+  // switch, in requests per gateway.
   std::uint32_t switching = 0;
   double switching_room = 0;
   std::uint32_t without_weights = 0;
-  // Are on the list, but their agents have not reported yet, though others have.
+  // Targets on the target list whose agents have not reported yet, while other agents have.
   std::uint32_t unreported = 0;
-  // Would begin it on weights that are too old by then.
+  // Targets that would start the request with weights that are too old at that time.
   std::uint32_t old_weights = 0;
 };
 
 class TargetTable
 {
 public:
-  // `seed` is for choices between targets that are as good.
+  // `seed` determines the choices between equally good targets.
   explicit TargetTable(const std::string& hall, std::uint64_t seed = 0)
       : m_hall(hall), m_seed(seed), m_reach(hall, seed), m_random(seed)
   {
   }
 
-  // The whole list. Targets that are not on it get no new requests.
+  // Replaces the target list by the complete new list. Targets that are not on it get no new
+  // requests.
   void SetList(const std::vector<ListedTarget>& list, Common::TimePoint now);
-  // The services that the settings name: an entry of another one says nothing of a known target.
+  // Sets the services that the settings name. A list entry of another service does not affect a
+  // known target that has the same address.
   void SetServices(std::set<std::string> services) { m_services = std::move(services); }
   void SetEngine(const std::string& service, const std::optional<Settings::EngineProfile>& engine);
   bool HasEngine(const std::string& service) const { return m_engines.contains(service); }
-  // By how much answers of the service's engines take longer than published; 1 if as published.
+  // Factor by which answers of the service's engines take longer than published; 1 if they are as
+  // published.
   double CorrectionOf(const std::string& service) const;
   void OnLoad(const TargetLoad& load, Common::TimePoint now);
 
-  // Those of the own hall, this one included, choose from the same reports.
+  // Sets the number of gateways: the gateways of this hall, including this gateway, choose targets
+  // from the same load reports.
   void SetGateways(const GatewayCounts& gateways);
-  // The target with the least expected time until an answer begins; empty if there is none, or if
-  // others are expected to take what room there is.
+  // Chooses the target with the least expected time until the answer starts. Empty if there is no
+  // target, or if other requests are expected to use up the remaining capacity.
   std::optional<TargetChoice> Choose(const TargetWish& wish, Common::TimePoint now);
   ServiceRoom RoomFor(const TargetWish& wish, Common::TimePoint now) const;
   TargetSurvey SurveyOf(const TargetWish& wish, Common::TimePoint now) const;
-  // Requests that wait or run at the service's targets, over their slots.
+  // The number of requests that wait or run at the service's targets, divided by the number of
+  // their slots.
   double Utilization(const std::string& service, Common::TimePoint now) const;
-  // How long it takes until each target of the service has had the chance to begin something new: a
-  // pass of an engine, or an answer of a plain service.
+  // The time until each target of the service has had the opportunity to start a new request: a
+  // pass of an engine, or the time that a plain service takes for an answer.
   Common::Duration PassTimeOf(const std::string& service) const;
-  // The mean time in which a full target ends all that it runs.
+  // The mean time in which a full target finishes all its running requests.
   Common::Duration TurnoverOf(const std::string& service) const;
   bool IsAcceptable(const TargetId& id) const;
   // The listed target at the address; empty if there is none.
   TargetId FindByAddress(const Common::Address& address) const;
-  // How long a message to the target may take at the moment.
+  // The current network delay of a message to the target.
   Common::Duration WayTo(const TargetId& id) const;
-  // The weights that the target is known to have; 0 if it is not known.
+  // The version of the weights that the target is known to have; 0 if the version or the target is
+  // not known.
   std::uint64_t WeightsAt(const TargetId& id) const;
-  // Whether a fresh report says that the target takes this version, or a later one, before it
-  // begins anything.
+  // Whether a recent report says that the target is switching to this version, or to a later one,
+  // before it starts any other request.
   bool IsTaking(const TargetId& id, std::uint64_t version, Common::TimePoint now) const;
-  // Whether the target has not started again since: a later incarnation knows nothing of earlier
-  // requests.
+  // Whether the target still has this incarnation: after a restart, a target has no state of
+  // earlier requests.
   bool IsSameIncarnation(const TargetId& id, std::uint64_t incarnation) const;
 
   void OnArrival(const std::string& service, Common::TimePoint now)
@@ -154,42 +163,44 @@
   {
     m_demand.OnRefused(service, now);
   }
-  // What comes to this gateway for services with engines.
+  // The demand at this gateway for services that have engines.
   OwnDemand DemandHere(Common::TimePoint now) const;
-  // `request` names the request until it has ended.
+  // `request` identifies the request until it has ended.
   void OnDispatched(const TargetId& id, std::uint64_t request, std::uint32_t prompt_tokens,
                     Common::Duration expected_start, Common::TimePoint now);
-  // What the start of an answer shows of the engine's published times, or of how long the answers
-  // of a plain service take.
+  // Compares the measured start time of an answer with the engine's published times, or updates the
+  // mean request time of a plain service.
   void OnStartMeasured(const std::string& service, const TargetChoice& choice,
                        Common::Duration took, Common::TimePoint now);
-  // The answer, or its first event, has come.
+  // Called when the answer, or its first event, has arrived.
   void OnStarted(const TargetId& id, std::uint64_t request, std::uint32_t prompt_tokens,
                  Common::TimePoint now);
   void OnEnded(const TargetId& id, std::uint64_t request, std::uint32_t unread_prompt_tokens);
   void OnSucceeded(const TargetId& id);
-  // Could not be reached, or broke off.
+  // Called when the target could not be reached, or when its answer broke off.
   void OnFailed(const TargetId& id, Common::TimePoint now);
-  // Said that it has no room.
+  // Called when the target has answered that it is full.
   void OnFull(const TargetId& id, Common::TimePoint now);
-  // Another target has its address: this one is gone, though it may still be on the list.
+  // Called when another target has the address of the target: the target has ended, though it may
+  // still be on the target list.
   void OnReplaced(const TargetId& id, Common::TimePoint now);
 
   std::size_t Size() const { return m_targets.size(); }
-  // How many of them have been reported since this process started.
+  // How many targets have been reported by their agents since this process started.
   std::size_t Reported() const;
-  // Addresses of the listed targets of services that need weights, with their halls.
+  // All targets that are listed and not replaced.
   std::vector<ListedTarget> Listed() const;
-  // Whether this gateway sends to the target at the address as long as it can, and all of those
-  // that have agents.
+  // IsUsed() tells whether this gateway sends to the target at the address as long as it can;
+  // Used() returns the addresses of all such targets that have agents.
   bool IsUsed(const Common::Address& address) const;
   std::vector<Common::Address> Used() const;
-  // Whether targets of other halls are needed: the best one here would begin too late.
+  // Whether targets of other halls are needed, because the best target of this hall would start a
+  // request too late.
   bool NeedsOtherHalls(Common::TimePoint now) const { return now < m_crowded_until; }
-  // What this gateway has at the target.
+  // The unfinished work that this gateway has at the target.
   OwnWork OwnWorkAt(const TargetId& id) const;
-  // The address of a target that has an agent beside it, which can be told of work; empty if it
-  // has none.
+  // The address of a target that has an agent beside it, to which this gateway can announce its
+  // work; empty if the target has no agent.
   std::optional<Common::Address> AgentOf(const TargetId& id) const;
 
 private:
@@ -197,118 +208,128 @@
   {
     ListedTarget listed;
     bool is_on_list = false;
-    // When it was first on the list that this gateway knows.
+    // When the target first appeared on this gateway's target list.
     Common::TimePoint known_since{};
-    // Since when its agent alone tells of it; empty once the platform lists it.
+    // When the agent first reported the target, while the platform does not list it yet; empty once
+    // the platform lists it.
     std::optional<Common::TimePoint> reported_at;
-    // In reach of this gateway.
+    // Whether the target belongs to the subset that this gateway uses.
     bool is_used = true;
-    // Less than any real cost: between equal targets each gateway has a choice of its own.
+    // Smaller than any real cost, so that each gateway prefers a different one of equally good
+    // targets.
     Common::Duration tie_break{};
-    // Another one has its address. Its record may stay on the list for a while; it comes back with
-    // a new incarnation only.
+    // Another target has the address of this target. The record of this target may stay on the list
+    // for a while; the target becomes available again only with a new incarnation.
     bool is_replaced = false;
     std::uint32_t own = 0;
     double unread_prompt_tokens = 0;
-    // Those of requests that were sent after the last report.
+    // Prompt tokens of the requests that this gateway sent after the last load report.
     double unread_since_load = 0;
-    // From the last report of its agent.
+    // The last load report of the target's agent.
     std::optional<TargetLoad> load;
     std::uint32_t own_at_load = 0;
-    // Own requests that had not begun then.
+    // Requests of this gateway whose answers had not started when the last load report arrived.
     std::size_t own_waiting_at_load = 0;
     Common::TimePoint load_received{};
-    // Requests without an answer yet, by the time at which one was expected.
+    // The unanswered requests, each with the time at which its answer was expected to start.
     std::map<std::uint64_t, Common::TimePoint> expected;
-    // How much later than expected answers came of late.
+    // How much later than expected the recent answers started.
     Common::Duration lag{};
     Common::TimePoint lag_updated{};
-    std::uint32_t failures = 0; // since the last success
+    std::uint32_t failures = 0; // consecutive failures since the last success
     Common::TimePoint avoid_until{};
 
     bool IsListed() const { return is_on_list && !is_replaced; }
   };
 
-  // A report that is younger tells what its target does at this moment.
+  // A load report that is younger than this describes the present state of its target.
   static constexpr Common::Duration FRESH_LOAD = Common::Milliseconds(500);
 
   struct Engine
   {
     Settings::EngineProfile published;
     EngineCorrection correction;
-    // As corrected.
+    // The published profile, corrected by the measured factor.
     Settings::EngineProfile present;
   };
 
-  // The target has started again under its id: all that is known is about the incarnation before.
+  // Resets a target that has restarted under its id: all that is known describes the earlier
+  // incarnation.
   static void BeginIncarnation(Target& target, std::uint64_t incarnation, Common::TimePoint now);
   bool IsKnownService(const std::string& service) const
   {
     return m_services.empty() || m_services.contains(service);
   }
   void UpdateReach();
-  // Takes in a target that its agent tells of, before the platform lists it.
+  // Adds a target that its agent reports before the platform lists it.
   void AddReported(const TargetLoad& load, Common::TimePoint now);
-  // The listed target at the address that has an agent, whatever became of it; empty if none.
+  // The target at the address that has an agent, also if it is replaced or no longer listed; empty
+  // if there is none.
   TargetId FindBefore(const Common::Address& address) const;
-  // An address belongs to one target at a time: who had those of the added ones is gone.
+  // Marks the earlier targets at the addresses of the added targets as replaced, because an address
+  // belongs to one target at a time.
   void ReplaceThoseAt(const std::map<Common::Address, TargetId>& added, Common::TimePoint now);
   const Settings::EngineProfile* EngineOf(const std::string& service) const;
   double LoadOf(const Target& target, Common::TimePoint now) const;
-  // Of a target without an agent: what the other gateways have there is worked out from what comes
-  // to this one.
+  // The load of a target without an agent. The requests that the other gateways have there are
+  // estimated from the arrivals at this gateway.
   double PlainLoadOf(const Target& target, Common::TimePoint now) const;
-  // How long answers of a plain service take, as a mean.
+  // The mean time that a plain service takes for an answer.
   Common::Duration PlainTimeOf(const std::string& service) const;
   Common::Duration PlainStart(const Target& target, Common::TimePoint now) const;
   std::size_t ListedCount(const std::string& service) const;
-  // How much slower than its profile it is, as its agent says.
+  // Factor by which the target is slower than its engine profile, as its agent reports it.
   static double PaceOf(const Target& target) { return target.load ? target.load->pace : 1; }
   bool HasFreshLoad(const Target& target, Common::TimePoint now) const;
-  // What the target has to do, as far as is known.
+  // The work that the target has, as far as is known.
   TargetWork WorkOf(const Target& target, const Settings::EngineProfile& engine,
                     Common::TimePoint now) const;
-  // Targets that would do, and what each of them costs.
+  // The targets that can accept a request, and the cost of each.
   struct Candidates
   {
     std::vector<TargetChoice> choices;
     std::vector<SpreadOption> options;
-    // Of all of them, what one more request at a target puts off the next one by.
+    // The sum over all candidates of the time by which one more request delays the next one at that
+    // target.
     Common::Duration delays_of_one{};
   };
   Spread SpreadOf(const TargetWish& wish, const Candidates& candidates,
                   Common::TimePoint now) const;
-  // Those in reach, or all if none of these is open.
+  // The open targets in the subset that this gateway uses, or all open targets if none of the
+  // subset is open. If no target is open, the candidates are avoided targets that qualify as a last
+  // resort.
   Candidates CandidatesFor(const TargetWish& wish, Common::TimePoint now) const;
   void AddCandidate(const TargetId& id, const Target& target, const TargetWish& wish,
                     Common::TimePoint now, Candidates* candidates) const;
   bool IsOpenFor(const TargetId& id, const Target& target, const TargetWish& wish,
                  Common::TimePoint now) const;
-  // Whether a target that has failed is used all the same, as there is no other one.
+  // Whether a target that has failed may be used because there is no other target.
   bool IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& wish,
                        Common::TimePoint now) const;
-  // Whether the request is sent now, of all that compete for what room there is.
+  // Decides whether the request is sent now, among all requests that compete for the remaining
+  // capacity.
   bool IsAdmitted(const TargetWish& wish, const std::vector<SpreadOption>& options,
                   const Spread& spread, Common::TimePoint now);
-  // Uniform from 0 to 1.
+  // A random number, uniformly distributed from 0 to 1.
   double Draw();
-  // Notes whether the own hall can begin a usual request in time.
+  // Records when no target of this hall can start the request soon.
   void NoteCrowding(const TargetWish& wish, const std::vector<SpreadOption>& options,
                     Common::TimePoint now);
   std::uint64_t WeightsOf(const Target& target) const;
-  // How much later than twice the expected time a request may begin there.
+  // How much later than twice the expected start time a request may start at the target.
   Common::Duration StartMargin(const Target& target, Common::TimePoint now) const;
-  // Whether a request that is sent now would begin in time on weights that are good enough.
+  // Whether a request that is sent now would start with weights that are new enough at that time.
   bool HasGoodWeights(const Target& target, const TargetWish& wish, Common::Duration start,
                       Common::TimePoint now) const;
   Common::Duration ExpectedStartAt(const Target& target, std::uint32_t prompt_tokens,
                                    Common::TimePoint now) const;
   Common::Duration LagOf(const Target& target, Common::TimePoint now) const;
   static Common::Duration WayTo(const Target& target);
-  // Whether its agent has not reported since the target is known here, though others do: it has
-  // probably ended, and its record has not lapsed yet.
+  // Whether the target's agent has not reported since the target became known to this gateway,
+  // while other agents report. The target has then probably ended, and its record has not lapsed
+  // yet.
   bool IsUnreported(const Target& target, Common::TimePoint now) const;
-  // Whether its agent has reported before, and does not any more.
+  // Whether the target's agent has reported before, but has stopped reporting.
   static bool IsSilent(const Target& target, Common::TimePoint now);
   enum class Access
   {
@@ -321,8 +342,8 @@
   };
   Access AccessOf(const Target& target, Common::TimePoint now) const;
   bool IsOpen(const Target& target, Common::TimePoint now) const;
-  // By how much a request that begins there now would hold up the target's planned switch to other
-  // weights.
+  // The time by which a request that starts at the target now would delay the target's planned
+  // switch to another version of the weights.
   Common::Duration SwitchDelay(const Target& target, const TargetWish& wish,
                                Common::TimePoint now) const;
 
@@ -331,16 +352,16 @@
   TargetReach m_reach;
   GatewayCounts m_gateways;
   std::map<TargetId, Target> m_targets;
-  // Targets that were on the list once and are not any more, though they may still answer.
+  // Targets that have left the target list but may still answer, with the time at which they left.
   std::map<TargetId, Common::TimePoint> m_gone;
   std::set<std::string> m_services;
   std::map<std::string, Engine> m_engines;
-  // By service without an engine.
+  // The mean request time by service, for services without an engine.
   std::map<std::string, Common::Duration> m_plain_times;
   std::mt19937_64 m_random;
   DemandWatch m_demand;
   Common::TimePoint m_crowded_until{};
-  // The last report of any agent.
+  // When the last report of any agent arrived.
   Common::TimePoint m_last_report = Common::TimePoint::min();
 };
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/TargetTimes.cpp
+++ b/Source/Core/Gateway/TargetTimes.cpp
@@ -5,7 +5,8 @@
 
 #include "Common/EventLog.h"
 
-// How long the targets of a service take: as published, and as their answers show.
+// The time that targets of a service take: from the published engine profile, and as measured from
+// their answers.
 namespace Holdpost::Gateway
 {
 using Common::Duration;
@@ -15,9 +16,11 @@
 using Common::Weight;
 using Settings::EngineProfile;
 
-// Plain services have no published times: until answers have come, they are taken to take so long.
+// Plain services have no published times. This is their assumed request time until answers have
+// arrived.
 static constexpr Duration PLAIN_REQUEST_TIME = Milliseconds(20);
-// Each answer of a plain service moves the known mean by this part.
+// The divisor of the moving average of a plain service's request time: each answer changes the
+// average by this fraction of its difference.
 static constexpr int PLAIN_TIME_SHARE = 16;
 
 const EngineProfile* TargetTable::EngineOf(const std::string& service) const
@@ -36,7 +39,7 @@
   Engine& known = m_engines[service];
   if (known.published == *engine)
     return;
-  // What was learnt is about other times.
+  // The correction was measured against other published times, so it is reset.
   known = {*engine, {}, *engine};
 }
 
@@ -56,7 +59,7 @@
     m_plain_times[service] = before + (took - before) / PLAIN_TIME_SHARE;
     return;
   }
-  // Behind a queue it is the queue that is measured, not the engine.
+  // With a queue in front of the request, the measured time shows the queue and not the engine.
   if (!choice.has_free_slot || choice.published_start <= Duration(0))
     return;
   Engine& engine = found->second;
--- a/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
+++ b/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
@@ -12,7 +12,8 @@
 constexpr char SERVICE[] = "llm";
 constexpr GatewayCounts GATEWAYS{40, 10};
 
-// A gateway to which 50 requests a second come; of these it refuses one in `refuses_one_in`.
+// A gateway with 50 arrivals per second. If `refuses_one_in` is not 0, it refuses one request in
+// `refuses_one_in`.
 struct Fixture
 {
   explicit Fixture(int refuses_one_in = 0)
@@ -31,31 +32,31 @@
 };
 } // namespace
 
-TEST_CASE("A gateway counts what comes to it and what it refuses")
+TEST_CASE("A gateway measures its rates of arrivals and refusals")
 {
   Fixture f(4);
   CHECK(f.demand.ArrivalsPerSecond(SERVICE, f.now) == doctest::Approx(50).epsilon(0.1));
   CHECK(f.demand.RefusedShare(SERVICE, f.now) == doctest::Approx(0.25).epsilon(0.1));
 
-  SUBCASE("and forgets it")
+  SUBCASE("they decay when no more requests arrive")
   {
     f.now += std::chrono::seconds(6);
     CHECK(f.demand.ArrivalsPerSecond(SERVICE, f.now) < 1);
     CHECK(f.demand.RefusedShare(SERVICE, f.now) == 0);
   }
-  SUBCASE("other services have numbers of their own")
+  SUBCASE("other services have separate rates")
   {
     CHECK(f.demand.ArrivalsPerSecond("desk", f.now) == 0);
   }
 }
 
-TEST_CASE("What comes to the others is what the targets' agents tell")
+TEST_CASE("The demand at the other gateways is taken from the reports of the targets' agents")
 {
   Fixture f;
   f.demand.OnTold(SERVICE, {700, 90, 0.1}, f.now);
   CHECK(f.demand.Around(SERVICE, GATEWAYS, f.now) == GatewayDemand{700, 90, 0.1});
 
-  SUBCASE("without reports of them as much as comes here")
+  SUBCASE("without reports, each other gateway is assumed to have as many arrivals as this one")
   {
     f.now += Milliseconds(2500);
     f.demand.OnArrival(SERVICE, f.now);
@@ -66,7 +67,7 @@
   }
 }
 
-TEST_CASE("A gateway that refuses more than the others comes first")
+TEST_CASE("A gateway that refuses a larger share than the others gets a larger fairness weight")
 {
   Fixture often(2);
   Fixture never;
@@ -76,7 +77,7 @@
   CHECK(often.demand.FairnessWeight(SERVICE, often.now) > 1.5);
   CHECK(never.demand.FairnessWeight(SERVICE, never.now) < 0.7);
 
-  SUBCASE("but not by more than ten times, and only with reports of the others")
+  SUBCASE("the weight is 10 at most, and 1 without reports on the others")
   {
     Fixture always(1);
     always.demand.OnTold(SERVICE, {700, 90, 0}, always.now);
--- a/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
+++ b/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
@@ -12,7 +12,8 @@
 
 namespace
 {
-// What the agent at the target's address says once an engine with another id has started there.
+// The load report of the agent at the target's address after an engine with another id has started
+// there.
 TargetLoad LoadOfNext(const ListedTarget& target, const TargetId& id)
 {
   TargetLoad load = MakeLoad(target, 0);
@@ -21,7 +22,7 @@
 }
 } // namespace
 
-TEST_CASE("A target that starts again under another id is used before the platform lists it")
+TEST_CASE("A target that restarts under another id is used before the platform lists it")
 {
   Fixture f;
   f.table.SetList({f.one, f.two}, f.now);
@@ -30,12 +31,12 @@
   REQUIRE(f.Choose()->id == "next");
   CHECK(f.Choose()->address == f.one.address);
 
-  SUBCASE("the one before it gets nothing, though it is still on the list")
+  SUBCASE("the earlier target gets nothing, though it is still on the target list")
   {
     f.table.SetList({f.one, f.two}, f.now);
     CHECK(f.Choose({"llm", 1000, 100, {"next", "2"}, {}}) == std::nullopt);
   }
-  SUBCASE("it stays when the list has it, and is gone when that drops it")
+  SUBCASE("it stays when the target list names it, and is removed when the list drops it")
   {
     ListedTarget next = f.one;
     next.id = "next";
@@ -44,11 +45,11 @@
     CHECK(f.Choose()->id == "next");
     f.table.SetList({f.two}, f.now);
     CHECK(f.Choose()->id == "2");
-    // It leaves silently, and goes on answering meanwhile.
+    // It leaves without a further message, and continues to answer in the meantime.
     f.table.OnLoad(LoadOfNext(f.one, "next"), f.now);
     CHECK(f.Choose()->id == "2");
   }
-  SUBCASE("it is dropped if the list does not have it in time")
+  SUBCASE("it is removed if the target list does not name it in time")
   {
     f.now += Milliseconds(6000);
     f.table.SetList({f.two}, f.now);
@@ -58,38 +59,38 @@
   }
 }
 
-// After a start of all machines: the list has records of engines that have ended.
+// After a start of all machines, the target list contains records of engines that have ended.
 TEST_CASE(
     "A listed target of which nothing is reported, though others are, gets nothing for a while")
 {
   Fixture f;
   f.table.SetList({f.one, f.two}, f.now);
   const TargetWish wish = {"llm", 1000, 100, {}, {}};
-  SUBCASE("while nobody reports, all are used: their agents may be down")
+  SUBCASE("while no agent reports, all targets are used: their agents may be down")
   {
     CHECK(f.table.SurveyOf(wish, f.now).open == 2);
   }
-  SUBCASE("it is closed once another one is reported, also if that one is busy")
+  SUBCASE("it gets no requests once another target is reported, even if that target is busy")
   {
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     CHECK(f.table.Reported() == 1);
     CHECK(f.table.SurveyOf(wish, f.now).unreported == 1);
     CHECK(f.Choose()->id == "2");
   }
-  SUBCASE("its first report opens it")
+  SUBCASE("it gets requests after its first report")
   {
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     f.table.OnLoad(MakeLoad(f.one, 0), f.now);
     CHECK(f.table.Reported() == 2);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("it is used without reports once its record would have lapsed: its agent may have failed")
+  SUBCASE("it is used without a report once its record would have lapsed: its agent may be down")
   {
     f.now += Milliseconds(5000);
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     CHECK(f.table.SurveyOf(wish, f.now).open == 2);
   }
-  SUBCASE("it is used when reports stop altogether")
+  SUBCASE("it is used when all agents stop reporting")
   {
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     f.now += Milliseconds(2500);
@@ -97,18 +98,18 @@
   }
 }
 
-TEST_CASE("Reports alone make no target")
+TEST_CASE("A load report alone does not add a target")
 {
   Fixture f;
   f.table.SetList({f.one, f.two}, f.now);
-  SUBCASE("of an address at which none was listed")
+  SUBCASE("if no target was listed at its address")
   {
     ListedTarget unknown = f.one;
     unknown.address.port = 81;
     f.table.OnLoad(LoadOfNext(unknown, "next"), f.now);
     CHECK(f.table.Size() == 2);
   }
-  SUBCASE("of a target that has left the list")
+  SUBCASE("if its target has left the target list")
   {
     f.table.SetList({f.two}, f.now);
     ListedTarget next = f.one;
@@ -118,7 +119,7 @@
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     CHECK(f.Choose()->id != "1");
   }
-  SUBCASE("and a report of another one says nothing of the listed one")
+  SUBCASE("a report on another target at the address changes nothing about the listed one")
   {
     TargetLoad load = LoadOfNext(f.one, "next");
     load.weights_version = 7;
--- a/Source/UnitTests/Core/Gateway/SpreadChoiceTest.cpp
+++ b/Source/UnitTests/Core/Gateway/SpreadChoiceTest.cpp
@@ -18,7 +18,7 @@
 const Milliseconds ONE = Milliseconds(50);
 const Milliseconds PENALTY = Milliseconds(25);
 
-// How often each is chosen of a hundred draws.
+// How often each option is chosen in 100 draws.
 std::array<int, 4> Chosen(const Spread& spread)
 {
   std::array<int, 4> chosen{};
@@ -28,28 +28,28 @@
 }
 } // namespace
 
-TEST_CASE("Alone a gateway takes the cheapest target")
+TEST_CASE("A gateway without competing arrivals chooses the cheapest target")
 {
   CHECK(Chosen({0, 0, ONE, PENALTY})[1] == 100);
   CHECK(Chosen({3, 0, Milliseconds(0), PENALTY})[1] == 100);
 }
 
-TEST_CASE("Targets are chosen as far as the arrivals of others fill them up")
+TEST_CASE("Targets are chosen in proportion to their shares of the other gateways' arrivals")
 {
-  // 20 ms are filled into the cheapest one before the next one is as cheap.
+  // The cheapest target takes 20 ms before its cost reaches that of the next one.
   CHECK(Chosen({0.4, 0, ONE, PENALTY})[1] == 100);
-  // 100 ms: a level of 156.7 ms, of which the first three take 6.7, 56.7 and 36.7.
+  // 100 ms of work raise the level to 156.7 ms. The first three targets take 6.7, 56.7 and 36.7 ms.
   const auto chosen = Chosen({2, 0, ONE, PENALTY});
   CHECK(chosen[0] == 7);
   CHECK(chosen[1] == 56);
   CHECK(chosen[2] == 37);
   CHECK(chosen[3] == 0);
-  // With very many all are nearly alike.
+  // With very many arrivals, the shares of all targets are nearly equal.
   for (const int count : Chosen({1000, 0, ONE, PENALTY}))
     CHECK(count > 23);
 }
 
-TEST_CASE("Gateways of other halls come for what is much cheaper than anything near to them")
+TEST_CASE("Gateways of other halls use targets that are much cheaper than all in their own halls")
 {
   const std::vector<SpreadOption> options = {{Milliseconds(100), true},
                                              {Milliseconds(150), true},
@@ -63,24 +63,25 @@
     return first;
   };
   CHECK(share_of_first(0) == 100);
-  // Two of them fill the first up to 25 ms over the others: it gets no more than its share.
+  // Two requests of other halls would raise the first target to 25 ms above the others: it gets no
+  // more than its share.
   CHECK(share_of_first(2) < 95);
   CHECK(share_of_first(20) < 70);
 }
 
-TEST_CASE("No more is admitted than targets can begin in time")
+TEST_CASE("No more requests are admitted than the targets can start in time")
 {
   const Milliseconds limit(200);
-  // Up to 200 ms there is room for 50 + 100 + 80 ms of work: 4.6 requests.
+  // Up to a cost of 200 ms, the targets have capacity for 50 + 100 + 80 ms of work: 4.6 requests.
   CHECK(AdmittedPart(OPTIONS, {0, 0, ONE, PENALTY}, limit) == 1);
   CHECK(AdmittedPart(OPTIONS, {3, 0, ONE, PENALTY}, limit) == 1);
   CHECK(AdmittedPart(OPTIONS, {8.2, 0, ONE, PENALTY}, limit) == doctest::Approx(0.5));
 
-  SUBCASE("alone a gateway may use what little there is")
+  SUBCASE("a gateway without competing arrivals may use the last capacity")
   {
     CHECK(AdmittedPart(OPTIONS, {0, 0, ONE, PENALTY}, Milliseconds(110)) == 1);
   }
-  SUBCASE("services without published times take what comes")
+  SUBCASE("a service without published times admits all requests")
   {
     CHECK(AdmittedPart(OPTIONS, {0, 0, Milliseconds(0), PENALTY}, limit) == 1);
   }
--- a/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
@@ -12,7 +12,7 @@
 
 using Fixture = TableTesting::TargetTableFixture;
 
-TEST_CASE("Weights that are due")
+TEST_CASE("A target with old weights is used only if the request starts before the switch deadline")
 {
   Fixture f;
   f.two.weights_version = 2;
@@ -23,37 +23,38 @@
     return f.Choose({"llm", 1000, 100, {}, {{2, f.now + left}}});
   };
   CHECK(choose_before(Milliseconds(5000))->id == "1");
-  // A request that could begin too late goes to the newer weights, though they are busier.
+  // A request that could start too late is sent to the target with the newer weights, though this
+  // target is busier.
   CHECK(choose_before(Milliseconds(250))->id == "2");
   CHECK(choose_before(Milliseconds(650))->id == "2");
-  // Until then the free target is used: it may begin after twice the expected time and a margin for
-  // what other gateways send there.
+  // Before that, the idle target is used: a request may start there after twice the expected time
+  // plus a margin for the requests of other gateways.
   CHECK(choose_before(Milliseconds(750))->id == "1");
   CHECK(choose_before(Milliseconds(-100))->id == "2");
 
-  SUBCASE("without a fresh report of a target nothing is sent there in the last seconds before the "
-          "bound")
+  SUBCASE("without a recent report nothing is sent to a target in the last seconds before the "
+          "switch deadline")
   {
     f.now += Milliseconds(600);
     f.table.OnLoad(MakeLoad(f.two, 20), f.now);
     CHECK(choose_before(Milliseconds(1500))->id == "2");
     CHECK(choose_before(Milliseconds(5000))->id == "1");
   }
-  SUBCASE("nor if no report has come for seconds: requests may be on their way as long")
+  SUBCASE("the time is longer if no report came for seconds: requests may be in transit as long")
   {
     f.now += Milliseconds(2100);
     f.table.OnLoad(MakeLoad(f.two, 20), f.now);
     CHECK(choose_before(Milliseconds(3500))->id == "2");
     CHECK(choose_before(Milliseconds(9000))->id == "1");
   }
-  SUBCASE("an earlier bound is not forgotten for a later one")
+  SUBCASE("an earlier switch deadline holds beside a later one")
   {
     const TargetWish wish{"llm", 1000, 100, {}, {{2, f.now}, {3, f.now + Milliseconds(3000)}}};
     CHECK(f.Choose(wish)->id == "2");
   }
 }
 
-TEST_CASE("A planned switch makes a target dear for what would hold it up")
+TEST_CASE("A target with a planned switch is expensive for requests that would delay the switch")
 {
   Fixture f;
   TargetLoad load = MakeLoad(f.one, 0);
@@ -63,14 +64,14 @@
   CHECK(f.Choose({"llm", 100, 5, {}, {}})->id == "1");
   CHECK(f.Choose({"llm", 100, 200, {}, {}})->id == "2");
 
-  SUBCASE("but not closed to it when the others are full")
+  SUBCASE("it is still used for them when the other targets are full")
   {
     f.table.OnLoad(MakeLoad(f.two, 40), f.now);
     CHECK(f.Choose({"llm", 100, 200, {}, {}})->id == "1");
   }
 }
 
-TEST_CASE("Prompts that others wait to be read hold up a request")
+TEST_CASE("Unprocessed prompts of other gateways delay a request")
 {
   Fixture f;
   TargetLoad flooded = MakeLoad(f.one, 4);
@@ -82,12 +83,12 @@
   CHECK(f.Choose()->id == "2");
   CHECK(f.Choose()->expected_start < Milliseconds(200));
 
-  SUBCASE("until they have been read")
+  SUBCASE("until they have been processed")
   {
     f.now += Milliseconds(1400);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("what this gateway sent since the report counts on top")
+  SUBCASE("prompts that this gateway sent after the report are added")
   {
     f.table.OnDispatched("2", 1, 9000, Milliseconds(100), f.now);
     CHECK(f.Choose()->id == "1");
@@ -99,16 +100,16 @@
   }
 }
 
-TEST_CASE("Of many gateways that see the same room each sends its part")
+TEST_CASE("Each of many gateways that see the same free capacity sends its share of requests")
 {
   Fixture f;
   f.table.SetGateways({40, 40});
-  // One has room for about two more requests, the other for none.
+  // One target has capacity for about two more requests, the other has none.
   f.table.OnLoad(MakeLoad(f.one, 60), f.now);
   f.table.OnLoad(MakeLoad(f.two, 15), f.now);
   f.table.OnArrival("llm", f.now);
   TargetWish wish{"llm", 1000, 100, {}, {}, 1, Milliseconds(400)};
-  // Enough that a share is known to a few hundredths.
+  // Enough queries to measure a share to within a few hundredths.
   static constexpr int WISHES = 4000;
   const auto count_sent = [&]
   {
@@ -119,12 +120,12 @@
   };
   CHECK(count_sent() < WISHES / 4);
 
-  SUBCASE("alone it may send")
+  SUBCASE("a single gateway may send all requests")
   {
     f.table.SetGateways({1, 1});
     CHECK(count_sent() == WISHES);
   }
-  SUBCASE("small requests come first, and large ones still get a part")
+  SUBCASE("small requests are admitted more often, and some large ones still are")
   {
     const int usual = count_sent();
     wish.prompt_tokens = 100;
@@ -137,7 +138,7 @@
     CHECK(large < 0.8 * usual);
     CHECK(large > 0);
   }
-  SUBCASE("one that refuses more than the others comes first")
+  SUBCASE("a gateway that refuses a larger share than the others sends more")
   {
     const int usual = count_sent();
     for (int i = 0; i < 20; ++i)
@@ -150,14 +151,14 @@
     f.table.OnLoad(load, f.now);
     CHECK(count_sent() > 1.5 * usual);
   }
-  SUBCASE("a request that has run is not held to it")
+  SUBCASE("a request without a maximum start time is always admitted")
   {
     wish.start_most.reset();
     CHECK(count_sent() == WISHES);
   }
 }
 
-TEST_CASE("A target that looked idle a while ago is taken to be about as busy as the others")
+TEST_CASE("A target in another hall whose report is old is assumed to be as busy as the others")
 {
   TargetTable table("here");
   const ListedTarget near = MakeTarget("1");
@@ -173,14 +174,14 @@
   CHECK(chosen(START + Milliseconds(100)) == "2");
   CHECK(chosen(START + Milliseconds(600)) == "1");
 
-  SUBCASE("but it is used when nothing else can begin soon")
+  SUBCASE("it is used when nothing else can start the request soon")
   {
     table.OnLoad(MakeLoad(near, 24), START + Milliseconds(610));
     CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START + Milliseconds(610))->id == "2");
   }
 }
 
-TEST_CASE("Other halls are needed while nothing here can begin soon")
+TEST_CASE("Other halls are needed while nothing in this hall can start a request soon")
 {
   TargetTable table("here");
   const ListedTarget near = MakeTarget("1");
@@ -195,7 +196,7 @@
   CHECK(!table.NeedsOtherHalls(START + Milliseconds(5000)));
 }
 
-TEST_CASE("Targets out of reach are used when no other is open")
+TEST_CASE("Targets outside the gateway's subset are used when no target of the subset is open")
 {
   TargetTable table("here", 7);
   std::vector<ListedTarget> list;
@@ -216,13 +217,13 @@
       target.state = TargetState::Leaving;
   }
   table.SetList(list, START);
-  // Those that leave stay in reach until they are gone.
+  // Leaving targets stay in the subset until they are removed.
   const auto choice = table.Choose({"llm", 1000, 100, {}, {}}, START);
   REQUIRE(choice);
   CHECK(!table.IsUsed(choice->address));
 }
 
-TEST_CASE("Gateways that know of no difference between targets take different ones")
+TEST_CASE("Gateways that see equally good targets choose different ones")
 {
   std::vector<ListedTarget> list;
   for (int i = 0; i < 6; ++i)
@@ -237,7 +238,7 @@
     TargetTable table("here", seed);
     table.SetList(list, START);
     const TargetId first = table.Choose({"desk", 0, 0, {}, {}}, START)->id;
-    // The same one each time, so that its connection is used again.
+    // The same target is chosen each time, so that its connection is reused.
     CHECK(table.Choose({"desk", 0, 0, {}, {}}, START)->id == first);
     ++chosen[first];
   }
--- a/Source/UnitTests/Core/Gateway/TargetIncarnationsTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetIncarnationsTest.cpp
@@ -10,7 +10,7 @@
 
 using Fixture = TableTesting::TargetTableFixture;
 
-TEST_CASE("A target that starts again under its id knows nothing of before")
+TEST_CASE("A target that restarts under its id knows nothing of its earlier incarnation")
 {
   Fixture f;
   f.one.incarnation = f.two.incarnation = 1000;
@@ -24,7 +24,7 @@
   ListedTarget again = f.one;
   again.incarnation = 2000;
 
-  SUBCASE("its work, failures and weights are those of the new incarnation")
+  SUBCASE("its work, failures and weights are reset")
   {
     again.weights_version = 0;
     f.table.SetList({again, f.two}, f.now);
@@ -33,7 +33,7 @@
     CHECK_FALSE(f.table.IsSameIncarnation("1", 1000));
     CHECK(f.table.SurveyOf({"llm", 1000, 100, {}, {}}, f.now).avoided == 0);
   }
-  SUBCASE("also when it was off the list meanwhile")
+  SUBCASE("also when it was absent from the target list in the meantime")
   {
     f.table.SetList({f.two}, f.now);
     REQUIRE(f.table.Size() == 2);
@@ -41,7 +41,7 @@
     CHECK(f.table.OwnWorkAt("1").requests == 0);
     CHECK(f.table.SurveyOf({"llm", 1000, 100, {}, {}}, f.now).avoided == 0);
   }
-  SUBCASE("reports of the incarnation before are ignored")
+  SUBCASE("reports on the earlier incarnation are ignored")
   {
     again.weights_version = 0;
     f.table.SetList({again, f.two}, f.now);
@@ -51,7 +51,7 @@
     CHECK(f.table.WeightsAt("1") == 0);
     CHECK(f.table.IsSameIncarnation("1", 2000));
   }
-  SUBCASE("its agent may tell of it before the list does")
+  SUBCASE("its agent may report the new incarnation before the target list names it")
   {
     load.incarnation = 2000;
     load.weights_version = 0;
@@ -62,7 +62,7 @@
   }
 }
 
-TEST_CASE("An entry of a service that the settings do not name takes no target's address")
+TEST_CASE("An entry of a service that the settings do not name replaces no target at its address")
 {
   Fixture f;
   f.table.SetServices({"llm"});
--- a/Source/UnitTests/Core/Gateway/TargetReachTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetReachTest.cpp
@@ -35,7 +35,7 @@
   return list;
 }
 
-// By target, how many gateways of its hall and of others use it.
+// The number of gateways that use a target, in its own hall and in other halls.
 struct Users
 {
   std::size_t near = 0;
@@ -61,7 +61,7 @@
 }
 } // namespace
 
-TEST_CASE("A target is used by the gateways of its hall and by a few of others")
+TEST_CASE("A target is used by the gateways of its hall and by a few gateways of other halls")
 {
   const Site site;
   for (const auto& [id, users] : CountUsers(site))
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_CASE("How many use a target does not grow with the site")
+TEST_CASE("The number of gateways that use a target does not grow with the site")
 {
   const Site site{3, 100, 100};
   double near = 0;
@@ -97,7 +97,7 @@
   CHECK(far / static_cast<double>(all.size()) < 9);
 }
 
-TEST_CASE("What a gateway uses changes little when a target comes or goes")
+TEST_CASE("The subset of a gateway changes little when a target is removed")
 {
   const Site site;
   std::vector<ListedTarget> list = MakeTargets(site);
@@ -111,7 +111,7 @@
   CHECK(gone.size() <= 2);
 }
 
-TEST_CASE("A gateway that does not know of the others uses all")
+TEST_CASE("A gateway that knows no other gateways uses all targets")
 {
   const std::vector<ListedTarget> list = MakeTargets({});
   CHECK(TargetReach("hall-0", 7).Choose(list, {1, 1}).size() == list.size());
--- a/Source/UnitTests/Core/Gateway/TargetTableFixture.h
+++ b/Source/UnitTests/Core/Gateway/TargetTableFixture.h
@@ -7,7 +7,8 @@
 #include "Core/Gateway/TargetTable.h"
 #include "Support/Engines.h"
 
-// A table of two targets of a model service, for tests of what a gateway knows of targets.
+// A target table with two targets of a model service, and functions that make targets and load
+// reports.
 namespace Holdpost::Gateway::TableTesting
 {
 using Common::Milliseconds;
--- a/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
@@ -12,20 +12,20 @@
 
 using Fixture = TableTesting::TargetTableFixture;
 
-TEST_CASE("The target that would begin first is chosen")
+TEST_CASE("The target that would start the request first is chosen")
 {
   Fixture f;
   f.table.OnLoad(MakeLoad(f.one, 16), f.now);
   f.table.OnLoad(MakeLoad(f.two, 3), f.now);
   CHECK(f.Choose()->id == "2");
 
-  SUBCASE("what was sent since the report counts on top of it")
+  SUBCASE("requests that this gateway sent after the report are added to the reported load")
   {
     for (std::uint64_t i = 0; i < 16; ++i)
       f.table.OnDispatched("2", i, 1000, Milliseconds(100), f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("one that was tried is left out")
+  SUBCASE("a target that was tried already is left out")
   {
     CHECK(f.Choose({"llm", 1000, 100, {"2"}, {}})->id == "1");
     CHECK_FALSE(f.Choose({"llm", 1000, 100, {"1", "2"}, {}}).has_value());
@@ -36,21 +36,21 @@
     f.table.SetList({f.one, f.two}, f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("one that takes other weights gets nothing")
+  SUBCASE("a target that switches to other weights gets nothing")
   {
     TargetLoad load = MakeLoad(f.two, 0);
     load.is_switching = true;
     f.table.OnLoad(load, f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("one without weights gets nothing")
+  SUBCASE("a target without weights gets nothing")
   {
     f.two.weights_version = 0;
     f.table.SetList({f.one, f.two}, f.now);
     f.table.OnLoad(MakeLoad(f.two, 0), f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("one that is gone is not offered, and its requests are still counted down")
+  SUBCASE("a target that left the list is not chosen, and is removed when its last request ends")
   {
     f.table.OnDispatched("2", 1, 1000, Milliseconds(100), f.now);
     f.table.SetList({f.one}, f.now);
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("A target elsewhere has to be faster by more than the way is worth")
+TEST_CASE("A target in another hall is chosen only if it is faster by more than the penalty")
 {
   TargetTable table("here");
   const ListedTarget near = MakeTarget("1");
@@ -75,18 +75,18 @@
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START)->id == "2");
 }
 
-TEST_CASE("Without reports of a target the other gateways are taken to send as much")
+TEST_CASE("Without reports on a target, each other gateway is assumed to send as much as this one")
 {
   Fixture f;
   f.table.SetGateways({7, 7});
   f.table.OnLoad(MakeLoad(f.two, 5), f.now);
   for (std::uint64_t i = 0; i < 3; ++i)
     f.table.OnDispatched("1", i, 0, Milliseconds(100), f.now);
-  // Three from here may be 21 in all: more than there are slots.
+  // Three requests from this gateway may be 21 from all seven: more than the target has slots.
   CHECK(f.Choose()->id == "2");
 }
 
-TEST_CASE("A target that answers late is known for it")
+TEST_CASE("A target that answers late is chosen less")
 {
   Fixture f;
   f.table.OnLoad(MakeLoad(f.one, 0), f.now);
@@ -99,7 +99,7 @@
     f.now += Milliseconds(600);
     CHECK(f.Choose()->id == "2");
   }
-  SUBCASE("for a while after it came late")
+  SUBCASE("for some time after the late answer arrived")
   {
     f.now += Milliseconds(900);
     f.table.OnStarted("1", 7, 1000, f.now);
@@ -112,7 +112,7 @@
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("but not when it was on time")
+  SUBCASE("not after its answer arrived on time")
   {
     f.now += Milliseconds(120);
     f.table.OnStarted("1", 7, 1000, f.now);
@@ -122,15 +122,15 @@
   }
 }
 
-TEST_CASE("The way to a target counts")
+TEST_CASE("The network delay to a target adds to its expected start")
 {
   Fixture f;
   TargetLoad squeezed = MakeLoad(f.one, 0);
-  SUBCASE("as hellos and reports took it")
+  SUBCASE("as the round-trip time of messages and reports shows it")
   {
     squeezed.round_trip = Milliseconds(1700);
   }
-  SUBCASE("as the agent there expects it")
+  SUBCASE("as the target's agent expects it")
   {
     squeezed.inbound_delay = Milliseconds(1700);
   }
@@ -139,7 +139,7 @@
   CHECK(f.Choose()->id == "2");
 }
 
-TEST_CASE("A target that failed is left alone, longer each time in a row")
+TEST_CASE("A target that failed is avoided, for longer after each consecutive failure")
 {
   Fixture f;
   f.table.OnLoad(MakeLoad(f.one, 0), f.now);
@@ -151,22 +151,22 @@
   CHECK(f.table.Choose({"llm", 1000, 100, {}, {}}, f.now + Milliseconds(300))->id == "2");
 }
 
-TEST_CASE("A target whose agent has fallen silent may be cut off")
+TEST_CASE("A target whose agent has stopped reporting may be disconnected")
 {
   Fixture f;
   f.table.OnLoad(MakeLoad(f.one, 0), f.now);
   f.now += Milliseconds(900);
   f.table.OnLoad(MakeLoad(f.two, 8), f.now);
-  SUBCASE("another one is taken first")
+  SUBCASE("another target is preferred")
   {
     CHECK(f.Choose()->id == "2");
   }
-  SUBCASE("unless that one is full")
+  SUBCASE("it is used if the other target is full")
   {
     f.table.OnLoad(MakeLoad(f.two, 30), f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("once a request could not be sent there it is left alone, until it reports again")
+  SUBCASE("after a request could not be sent to it, it is avoided until its agent reports again")
   {
     f.table.OnLoad(MakeLoad(f.two, 30), f.now);
     f.table.OnFailed("1", f.now);
--- a/Source/UnitTests/Core/Gateway/TargetTimesTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTimesTest.cpp
@@ -8,7 +8,7 @@
 using namespace Holdpost::Gateway::TableTesting;
 using Common::Milliseconds;
 
-TEST_CASE("Published times that are wrong are corrected by the answers")
+TEST_CASE("Wrong published times are corrected by the measured start times")
 {
   TargetTable table("here");
   Settings::EngineProfile engine = Testing::MakeEngine(16);
@@ -17,7 +17,8 @@
   table.SetEngine("llm", engine);
   table.SetList({one}, now);
   table.OnLoad(MakeLoad(one, 0), now);
-  // Answers that begin after so many times of what the published times foretell.
+  // Records `count` answers that start after `factor` times the published start time, and returns
+  // the expected start in seconds.
   const auto answers = [&](double factor, int count)
   {
     for (int i = 0; i < count; ++i)
@@ -35,25 +36,25 @@
   const double published = answers(1, 40);
   CHECK(table.CorrectionOf("llm") == 1);
 
-  SUBCASE("eight times too small")
+  SUBCASE("published times eight times too small")
   {
     CHECK(answers(8, 20) == doctest::Approx(8 * published).epsilon(0.01));
   }
-  SUBCASE("eight times too large")
+  SUBCASE("published times eight times too large")
   {
     CHECK(answers(1.0 / 8, 20) == doctest::Approx(published / 8).epsilon(0.01));
   }
-  SUBCASE("right ones that differ a little are believed")
+  SUBCASE("published times that differ slightly from the measured ones are kept")
   {
     answers(1.2, 40);
     CHECK(table.CorrectionOf("llm") == 1);
   }
-  SUBCASE("engines that change in the middle")
+  SUBCASE("engines whose speed changes")
   {
     answers(8, 40);
     CHECK(answers(1, 40) == doctest::Approx(published).epsilon(0.01));
   }
-  SUBCASE("other published times are judged anew")
+  SUBCASE("new published times reset the correction")
   {
     answers(8, 40);
     engine.step_ms = 80;
@@ -62,7 +63,7 @@
   }
 }
 
-TEST_CASE("A plain service with one target left is used by all gateways")
+TEST_CASE("The last target of a plain service is used by all gateways")
 {
   TargetTable table("here");
   ListedTarget only = MakeTarget("1");
@@ -76,16 +77,17 @@
   table.OnDispatched("1", 1, 0, Milliseconds(20), START);
   const auto choice = table.Choose({"desk", 0, 0, {}, {}}, START);
   REQUIRE(choice.has_value());
-  // The others have as much to do as this one, which is far from the target's six slots.
+  // The other gateways have as many requests as this one, which together are far below the target's
+  // six slots.
   CHECK(choice->has_free_slot);
   CHECK(choice->expected_start < Milliseconds(50));
 
-  SUBCASE("also when a request there was lost, as there is no other one")
+  SUBCASE("also after a request to it failed, as there is no other target")
   {
     table.OnFailed("1", START);
     CHECK(table.Choose({"desk", 0, 0, {}, {}}, START).has_value());
   }
-  SUBCASE("but not when it fails again and again")
+  SUBCASE("not after it fails repeatedly")
   {
     for (int i = 0; i < 3; ++i)
       table.OnFailed("1", START);
