--- a/Source/Core/Gateway/DemandWatch.h
+++ b/Source/Core/Gateway/DemandWatch.h
@@ -25,21 +25,22 @@
   Common::TimePoint m_updated{};
 };
 
-class DemandWatch
+class DemandTracker
 {
 public:
   void OnArrival(const std::string& service, Common::TimePoint now);
   void OnRefused(const std::string& service, Common::TimePoint now);
   // Records the demand at the gateways that send to a target of this hall, as the target's agent
   // reports it.
-  void OnTold(const std::string& service, const GatewayDemand& demand, Common::TimePoint now);
+  void OnDemandReport(const std::string& service, const GatewayDemand& demand,
+                      Common::TimePoint now);
 
   double ArrivalsPerSecond(const std::string& service, Common::TimePoint now) const;
   double RefusedShare(const std::string& service, Common::TimePoint now) const;
   // The demand at all gateways of this hall, and at the gateways of other halls that send to one
   // target of this hall.
-  GatewayDemand Around(const std::string& service, const GatewayCounts& gateways,
-                       Common::TimePoint now) const;
+  GatewayDemand TotalDemand(const std::string& service, const GatewayCounts& gateways,
+                            Common::TimePoint now) const;
   // The weight of this gateway's requests in admission: above 1 if it refuses a larger share than
   // the other gateways, so that its requests are admitted more often.
   double FairnessWeight(const std::string& service, Common::TimePoint now) const;
@@ -49,8 +50,8 @@
   {
     EventRate arrivals;
     EventRate refusals;
-    GatewayDemand told;
-    Common::TimePoint told_at{};
+    GatewayDemand reported;
+    Common::TimePoint reported_at{};
   };
 
   const Service* Find(const std::string& service) const;
--- a/Source/Core/Gateway/EngineCorrection.h
+++ b/Source/Core/Gateway/EngineCorrection.h
@@ -26,9 +26,9 @@
   // The number of most recent starts whose ratios are kept. The median of this many ratios is
   // within a tenth of the true value while single ratios differ by half, and a gateway with 16
   // starts per second collects this many in about two seconds.
-  static constexpr std::size_t STARTS_KEPT = 33;
+  static constexpr std::size_t KEPT_STARTS = 33;
 
-  std::array<double, STARTS_KEPT> m_ratios{};
+  std::array<double, KEPT_STARTS> m_ratios{};
   std::size_t m_count = 0;
   double m_factor = 1;
 };
--- a/Source/Core/Gateway/SpreadChoice.cpp
+++ b/Source/Core/Gateway/SpreadChoice.cpp
@@ -24,57 +24,60 @@
   return level;
 }
 
-static double Count(Duration time)
+static double Ticks(Duration time)
 {
   return static_cast<double>(time.count());
 }
 
 // The volume that gateways of other halls send to targets of this hall. They choose a target here
 // only if it is cheaper for them than all targets in their own halls.
-static double VolumeFromFar(const std::vector<SpreadOption>& options, const Spread& spread)
+static double VolumeFromOtherHalls(const std::vector<SpreadOption>& options,
+                                   const SpreadParameters& spread)
 {
-  if (spread.far_arrivals <= 0)
+  if (spread.other_halls_arrivals <= 0)
     return 0;
-  const double penalty = Count(spread.far_penalty);
+  const double penalty = Ticks(spread.other_halls_penalty);
   std::vector<double> costs;
   costs.reserve(options.size());
   for (const SpreadOption& option : options)
-    costs.push_back(Count(option.cost) - (option.is_near ? 0 : penalty));
-  const double arrivals = spread.near_arrivals + spread.far_arrivals;
-  const double level = FillLevel(costs, arrivals * Count(spread.cost_of_one));
+    costs.push_back(Ticks(option.cost) - (option.is_same_hall ? 0 : penalty));
+  const double arrivals = spread.same_hall_arrivals + spread.other_halls_arrivals;
+  const double level = FillLevel(costs, arrivals * Ticks(spread.cost_per_request));
   double volume = 0;
   for (const SpreadOption& option : options)
   {
-    if (option.is_near)
-      volume += std::max(level - penalty - Count(option.cost), 0.0);
+    if (option.is_same_hall)
+      volume += std::max(level - penalty - Ticks(option.cost), 0.0);
   }
   return volume;
 }
 
-double AdmittedPart(const std::vector<SpreadOption>& options, const Spread& spread, Duration limit)
+double AdmittedShare(const std::vector<SpreadOption>& options, const SpreadParameters& spread,
+                     Duration limit)
 {
-  const double one = Count(spread.cost_of_one);
-  const double volume = (1 + spread.near_arrivals) * one + VolumeFromFar(options, spread);
-  double room = 0;
+  const double request_cost = Ticks(spread.cost_per_request);
+  const double volume =
+      (1 + spread.same_hall_arrivals) * request_cost + VolumeFromOtherHalls(options, spread);
+  double capacity = 0;
   for (const SpreadOption& option : options)
-    room += std::max(Count(limit + spread.worked_off - option.cost), 0.0);
-  return volume > 0 ? std::min(std::max(room, one) / volume, 1.0) : 1.0;
+    capacity += std::max(Ticks(limit + spread.finished_work - option.cost), 0.0);
+  return volume > 0 ? std::min(std::max(capacity, request_cost) / volume, 1.0) : 1.0;
 }
 
-std::size_t ChooseSpread(const std::vector<SpreadOption>& options, const Spread& spread,
+std::size_t ChooseOption(const std::vector<SpreadOption>& options, const SpreadParameters& spread,
                          double draw)
 {
   std::vector<double> costs;
   costs.reserve(options.size());
   for (const SpreadOption& option : options)
-    costs.push_back(Count(option.cost));
-  const double volume =
-      spread.near_arrivals * Count(spread.cost_of_one) + VolumeFromFar(options, spread);
+    costs.push_back(Ticks(option.cost));
+  const double volume = spread.same_hall_arrivals * Ticks(spread.cost_per_request) +
+                        VolumeFromOtherHalls(options, spread);
   const double level = FillLevel(costs, volume);
   double left = draw * volume;
   for (std::size_t i = 0; i < options.size(); ++i)
   {
-    left -= std::max(level - Count(options[i].cost), 0.0);
+    left -= std::max(level - Ticks(options[i].cost), 0.0);
     if (left < 0)
       return i;
   }
--- a/Source/Core/Gateway/StartEstimate.cpp
+++ b/Source/Core/Gateway/StartEstimate.cpp
@@ -21,7 +21,7 @@
   return engine.tokens_per_event * (engine.step_ms + sequences * per_sequence);
 }
 
-static double ReadMs(const EngineProfile& engine, double tokens)
+static double PromptMs(const EngineProfile& engine, double tokens)
 {
   return tokens / std::max(engine.prompt_tokens_per_ms, 1e-3) +
          tokens * tokens / PER_MILLION * engine.prompt_pairs_ms;
@@ -39,7 +39,7 @@
 {
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const double events = answer_tokens / std::max(engine.tokens_per_event, 1U);
-  return events * PassMs(engine, slots) / slots + ReadMs(engine, prompt_tokens);
+  return events * PassMs(engine, slots) / slots + PromptMs(engine, prompt_tokens);
 }
 
 static double SlotIntervalMs(const EngineProfile& engine)
@@ -53,8 +53,8 @@
   return ToDuration(EngineMs(engine, prompt_tokens, answer_tokens));
 }
 
-Common::Duration ExpectedWriting(const EngineProfile& engine, const TargetWork& work,
-                                 std::uint32_t answer_tokens)
+Common::Duration ExpectedGeneration(const EngineProfile& engine, const TargetWork& work,
+                                    std::uint32_t answer_tokens)
 {
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const double sequences = std::min(work.requests + 1, slots);
@@ -73,12 +73,12 @@
   return ToDuration(PassMs(engine, std::max<std::uint32_t>(engine.slots, 1)));
 }
 
-Common::Duration StartDelayOfOne(const EngineProfile& engine, double requests, double pace)
+Common::Duration StartDelayPerRequest(const EngineProfile& engine, double requests, double pace)
 {
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const bool has_free_slot = requests + 1 < slots;
   const double ms =
-      has_free_slot ? ReadMs(engine, engine.usual_prompt_tokens) : SlotIntervalMs(engine);
+      has_free_slot ? PromptMs(engine, engine.usual_prompt_tokens) : SlotIntervalMs(engine);
   return ToDuration(pace * ms);
 }
 
@@ -90,7 +90,7 @@
   const double pass = PassMs(engine, sequences);
   // On average half a pass until the engine looks for new requests, then the processing of the
   // prompt, then one pass.
-  double ms = 1.5 * pass + ReadMs(engine, prompt_tokens) +
+  double ms = 1.5 * pass + PromptMs(engine, prompt_tokens) +
               work.unread_prompt_tokens / std::max(engine.prompt_tokens_per_ms, 1e-3);
   if (work.requests >= slots)
     ms += (work.requests - slots + 1) * SlotIntervalMs(engine);
--- a/Source/Core/Gateway/StartEstimate.h
+++ b/Source/Core/Gateway/StartEstimate.h
@@ -25,8 +25,8 @@
 Common::Duration ExpectedStart(const Settings::EngineProfile& engine, const TargetWork& work,
                                std::uint32_t prompt_tokens);
 // Time from the first event to the last one.
-Common::Duration ExpectedWriting(const Settings::EngineProfile& engine, const TargetWork& work,
-                                 std::uint32_t answer_tokens);
+Common::Duration ExpectedGeneration(const Settings::EngineProfile& engine, const TargetWork& work,
+                                    std::uint32_t answer_tokens);
 // The part of a full engine's time that a request uses.
 Common::Duration EngineTime(const Settings::EngineProfile& engine, std::uint32_t prompt_tokens,
                             std::uint32_t answer_tokens);
@@ -37,6 +37,6 @@
 Common::Duration PassTime(const Settings::EngineProfile& engine);
 // How long one more request of usual size delays the start of the next request: by the processing
 // of its prompt while slots are free, and by all the engine time that it uses when no slot is free.
-Common::Duration StartDelayOfOne(const Settings::EngineProfile& engine, double requests,
-                                 double pace);
+Common::Duration StartDelayPerRequest(const Settings::EngineProfile& engine, double requests,
+                                      double pace);
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/TargetChoosing.cpp
+++ b/Source/Core/Gateway/TargetChoosing.cpp
@@ -35,9 +35,9 @@
 // travels to the agent, the agent reports at most once every 10 ms, and its report travels back.
 // With a shorter time, gateways that see the same idle target send more requests there than it can
 // start.
-static constexpr Duration BLIND_TIME = Milliseconds(25);
+static constexpr Duration LOAD_REPORT_DELAY = Milliseconds(25);
 // While an engine also generates answers, it processes prompts at this share of its full speed.
-static constexpr double READING_SHARE = 0.3;
+static constexpr double PROMPT_SPEED_SHARE = 0.3;
 // Targets in other halls are considered while the best target of this hall would start a request
 // later than an idle target by more than this factor, and for CROWDED_TIME after that.
 static constexpr double CROWDED_RATIO = 1.6;
@@ -45,57 +45,60 @@
 // The divisor of the delay by which a request would hold up a target's switch: this fraction of the
 // delay is the cost for other requests. With a larger fraction the engine runs half empty before
 // its switch; with none, long answers hold up switches until the switch deadline.
-static constexpr int SWITCH_DELAY_SHARE = 6;
+static constexpr int SWITCH_DELAY_DIVISOR = 6;
 // The time constant of the exponential decay of a target's measured lag.
-static constexpr double LAG_LIFETIME_SECONDS = 2;
+static constexpr double LAG_DECAY_SECONDS = 2;
 // Limits of the weight that a request's size has in its admission. When capacity is short, requests
 // that need less engine time than usual are admitted slightly more often. With wider limits the
 // largest requests are served least.
-static constexpr double SIZE_WEIGHT_LEAST = 0.9;
-static constexpr double SIZE_WEIGHT_MOST = 1.5;
+static constexpr double MIN_SIZE_WEIGHT = 0.9;
+static constexpr double MAX_SIZE_WEIGHT = 1.5;
 // Consecutive failures that the requests themselves may have caused: a target with no more failures
 // than this is used in spite of them if there is no other target.
-static constexpr std::uint32_t FAILURES_BORNE = 2;
+static constexpr std::uint32_t MAX_TOLERATED_FAILURES = 2;
 
 TargetWork TargetTable::WorkOf(const Target& target, const EngineProfile& engine,
                                TimePoint now) const
 {
   TargetWork work{LoadOf(target, now), target.unread_prompt_tokens, PaceOf(target)};
-  if (!HasFreshLoad(target, now))
+  if (!HasValidLoad(target, now))
     return work;
   if (target.load->unread_prompt_tokens)
   {
     const double age_ms =
         std::chrono::duration<double, std::milli>(now - target.load_received).count();
-    const double read = age_ms * engine.prompt_tokens_per_ms * READING_SHARE;
+    const double processed_tokens = age_ms * engine.prompt_tokens_per_ms * PROMPT_SPEED_SHARE;
     work.unread_prompt_tokens =
-        std::max(*target.load->unread_prompt_tokens - read, 0.0) + target.unread_since_load;
+        std::max(*target.load->unread_prompt_tokens - processed_tokens, 0.0) +
+        target.unread_since_load;
     return work;
   }
   // The prompts of the requests that other gateways have waiting at the target have to be
   // processed, too.
-  const auto own = static_cast<double>(target.own_waiting_at_load);
-  const double others = std::max(0.0, target.load->queued - own);
-  work.unread_prompt_tokens += others * engine.usual_prompt_tokens;
+  const auto local_waiting = static_cast<double>(target.local_waiting_at_load);
+  const double others_waiting = std::max(0.0, target.load->queued - local_waiting);
+  work.unread_prompt_tokens += others_waiting * engine.usual_prompt_tokens;
   return work;
 }
 
-Spread TargetTable::SpreadOf(const TargetWish& wish, const Candidates& candidates,
-                             TimePoint now) const
+SpreadParameters TargetTable::SpreadParametersFor(const TargetWish& query,
+                                                  const Candidates& candidates, TimePoint now) const
 {
-  const EngineProfile* engine = EngineOf(wish.service);
+  const EngineProfile* engine = EngineOf(query.service);
   if (!engine)
     return {};
-  const GatewayDemand demand = m_demand.Around(wish.service, m_gateways, now);
-  const double own = m_demand.ArrivalsPerSecond(wish.service, now);
+  const GatewayDemand demand = m_demand.TotalDemand(query.service, m_gateways, now);
+  const double local_arrivals = m_demand.ArrivalsPerSecond(query.service, now);
   // For each arrival per second at a gateway, the number of requests that it is about to send: the
   // arrivals since the last reports of the targets, and the waiting requests, because any report of
   // free capacity triggers their dispatch.
-  const double blind_seconds = std::chrono::duration<double>(BLIND_TIME).count();
-  const double for_each = blind_seconds + static_cast<double>(wish.waiting) / std::max(own, 1.0);
-  return {std::max(demand.near_per_second - own, 0.0) * for_each, demand.far_per_second * for_each,
-          candidates.delays_of_one / static_cast<Duration::rep>(candidates.options.size()),
-          OTHER_HALL_PENALTY, BLIND_TIME};
+  const double report_delay_seconds = std::chrono::duration<double>(LOAD_REPORT_DELAY).count();
+  const double pending_seconds =
+      report_delay_seconds + static_cast<double>(query.waiting) / std::max(local_arrivals, 1.0);
+  return {std::max(demand.near_per_second - local_arrivals, 0.0) * pending_seconds,
+          demand.far_per_second * pending_seconds,
+          candidates.sum_of_delays / static_cast<Duration::rep>(candidates.options.size()),
+          OTHER_HALL_PENALTY, LOAD_REPORT_DELAY};
 }
 
 double TargetTable::LoadOf(const Target& target, TimePoint now) const
@@ -104,21 +107,22 @@
     return PlainLoadOf(target, now);
   // Without fresh reports from the target's agent, each other gateway is assumed to send as much as
   // this gateway.
-  if (!HasFreshLoad(target, now))
-    return static_cast<double>(target.own) * static_cast<double>(m_gateways.all);
+  if (!HasValidLoad(target, now))
+    return static_cast<double>(target.local_requests) * static_cast<double>(m_gateways.all);
   const double total = target.load->running + target.load->queued;
-  const double others = std::max(0.0, total - target.own_at_load);
-  return others + target.own;
+  const double others_requests = std::max(0.0, total - target.local_requests_at_load);
+  return others_requests + target.local_requests;
 }
 
 double TargetTable::PlainLoadOf(const Target& target, TimePoint now) const
 {
   const std::string& service = target.listed.service;
-  const auto others =
+  const auto other_gateways =
       static_cast<double>(m_gateways.all - std::min<std::size_t>(m_gateways.all, 1));
   const double seconds = std::chrono::duration<double>(PlainTimeOf(service)).count();
-  const double running = others * m_demand.ArrivalsPerSecond(service, now) * seconds;
-  return target.own + running / static_cast<double>(std::max<std::size_t>(ListedCount(service), 1));
+  const double running = other_gateways * m_demand.ArrivalsPerSecond(service, now) * seconds;
+  return target.local_requests +
+         running / static_cast<double>(std::max<std::size_t>(ListedCount(service), 1));
 }
 
 std::size_t TargetTable::ListedCount(const std::string& service) const
@@ -128,42 +132,42 @@
       { return entry.second.listed.service == service && entry.second.IsListed(); }));
 }
 
-TargetSurvey TargetTable::SurveyOf(const TargetWish& wish, TimePoint now) const
+TargetSurvey TargetTable::SurveyOf(const TargetWish& query, TimePoint now) const
 {
-  TargetSurvey survey;
+  TargetSurvey summary;
   for (const auto& [id, target] : m_targets)
   {
-    if (target.listed.service != wish.service || !target.IsListed())
+    if (target.listed.service != query.service || !target.IsListed())
       continue;
-    ++survey.listed;
+    ++summary.listed;
     switch (AccessOf(target, now))
     {
     case Access::Open:
     {
-      const Duration start = ExpectedStartAt(target, wish.prompt_tokens, now);
-      ++(HasGoodWeights(target, wish, start, now) ? survey.open : survey.old_weights);
+      const Duration start = ExpectedStartAt(target, query.prompt_tokens, now);
+      ++(MeetsSwitchDeadlines(target, query, start, now) ? summary.open : summary.old_weights);
       break;
     }
     case Access::Leaving:
-      ++survey.leaving;
+      ++summary.leaving;
       break;
     case Access::Avoided:
-      ++survey.avoided;
+      ++summary.avoided;
       break;
     case Access::Switching:
-      ++survey.switching;
-      survey.switching_room += static_cast<double>(target.listed.slots) /
-                               static_cast<double>(std::max<std::size_t>(m_gateways.all, 1));
+      ++summary.switching;
+      summary.switching_room += static_cast<double>(target.listed.slots) /
+                                static_cast<double>(std::max<std::size_t>(m_gateways.all, 1));
       break;
     case Access::WithoutWeights:
-      ++survey.without_weights;
+      ++summary.without_weights;
       break;
     case Access::Unreported:
-      ++survey.unreported;
+      ++summary.unreported;
       break;
     }
   }
-  return survey;
+  return summary;
 }
 
 Duration TargetTable::ExpectedStartAt(const Target& target, std::uint32_t prompt_tokens,
@@ -172,7 +176,7 @@
   const EngineProfile* engine = EngineOf(target.listed.service);
   const Duration lag = LagOf(target, now);
   if (!engine)
-    return lag + PlainStart(target, now);
+    return lag + ExpectedPlainStart(target, now);
   return lag + ExpectedStart(*engine, WorkOf(target, *engine, now), prompt_tokens);
 }
 
@@ -180,10 +184,10 @@
 {
   const double age = std::chrono::duration<double>(now - target.lag_updated).count();
   const Duration learnt =
-      std::chrono::duration_cast<Duration>(target.lag * std::exp(-age / LAG_LIFETIME_SECONDS));
+      std::chrono::duration_cast<Duration>(target.lag * std::exp(-age / LAG_DECAY_SECONDS));
   // An answer that is overdue now says more than the answers that arrived.
   Duration overdue{};
-  for (const auto& [request, expected] : target.expected)
+  for (const auto& [request, expected] : target.expected_starts)
     overdue = std::max(overdue, now - expected);
   return std::max({learnt, overdue, WayTo(target)});
 }
@@ -202,32 +206,35 @@
 
 Duration TargetTable::StartMargin(const Target& target, TimePoint now) const
 {
-  if (target.load && now - target.load_received < FRESH_LOAD)
+  if (target.load && now - target.load_received < FRESH_LOAD_AGE)
     return START_MARGIN;
-  return HasFreshLoad(target, now) ? START_MARGIN_UNREPORTED : START_MARGIN_SILENT;
+  return HasValidLoad(target, now) ? START_MARGIN_UNREPORTED : START_MARGIN_SILENT;
 }
 
-bool TargetTable::HasGoodWeights(const Target& target, const TargetWish& wish, Duration start,
-                                 TimePoint now) const
+bool TargetTable::MeetsSwitchDeadlines(const Target& target, const TargetWish& query,
+                                       Duration start, TimePoint now) const
 {
   if (!target.listed.needs_weights)
     return true;
   const std::uint64_t version = WeightsOf(target);
-  const TimePoint begin = now + 2 * start + StartMargin(target, now);
-  return std::ranges::all_of(wish.weights, [&](const WeightsBound& bound)
-                             { return version >= bound.version || begin < bound.due; });
+  const TimePoint latest_start = now + 2 * start + StartMargin(target, now);
+  return std::ranges::all_of(query.weights,
+                             [&](const WeightsBound& deadline) {
+                               return version >= deadline.version || latest_start < deadline.due;
+                             });
 }
 
-Duration TargetTable::SwitchDelay(const Target& target, const TargetWish& wish, TimePoint now) const
+Duration TargetTable::SwitchDelay(const Target& target, const TargetWish& query,
+                                  TimePoint now) const
 {
   const EngineProfile* engine = EngineOf(target.listed.service);
   if (!engine || !target.load || !target.load->switch_in)
     return Duration::zero();
   const TimePoint switch_at = target.load_received + *target.load->switch_in;
   const TargetWork work = WorkOf(target, *engine, now);
-  const Duration whole = ExpectedStart(*engine, work, wish.prompt_tokens) +
-                         ExpectedWriting(*engine, work, wish.answer_tokens);
-  return std::max(now + whole - switch_at, Duration::zero());
+  const Duration total_time = ExpectedStart(*engine, work, query.prompt_tokens) +
+                              ExpectedGeneration(*engine, work, query.answer_tokens);
+  return std::max(now + total_time - switch_at, Duration::zero());
 }
 
 double TargetTable::Draw()
@@ -235,65 +242,68 @@
   return std::uniform_real_distribution<double>(0, 1)(m_random);
 }
 
-static double SizeWeight(const EngineProfile& engine, const TargetWish& wish)
+static double SizeWeight(const EngineProfile& engine, const TargetWish& query)
 {
   using Seconds = std::chrono::duration<double>;
-  const Seconds usual = EngineTime(engine, engine.usual_prompt_tokens, engine.usual_answer_tokens);
-  const Seconds own = EngineTime(engine, wish.prompt_tokens, wish.answer_tokens);
-  const Seconds least = Duration(1);
-  return std::clamp(usual / std::max(own, least), SIZE_WEIGHT_LEAST, SIZE_WEIGHT_MOST);
+  const Seconds usual_time =
+      EngineTime(engine, engine.usual_prompt_tokens, engine.usual_answer_tokens);
+  const Seconds request_time = EngineTime(engine, query.prompt_tokens, query.answer_tokens);
+  const Seconds min_time = Duration(1);
+  return std::clamp(usual_time / std::max(request_time, min_time), MIN_SIZE_WEIGHT,
+                    MAX_SIZE_WEIGHT);
 }
 
-bool TargetTable::IsAdmitted(const TargetWish& wish, const std::vector<SpreadOption>& options,
-                             const Spread& spread, TimePoint now)
+bool TargetTable::IsAdmitted(const TargetWish& query, const std::vector<SpreadOption>& options,
+                             const SpreadParameters& spread, TimePoint now)
 {
-  const EngineProfile* engine = EngineOf(wish.service);
-  if (!engine || !wish.start_most)
+  const EngineProfile* engine = EngineOf(query.service);
+  if (!engine || !query.start_most)
     return true;
-  const double part = AdmittedPart(options, spread, *wish.start_most);
-  if (part >= 1)
+  const double admitted_share = AdmittedShare(options, spread, *query.start_most);
+  if (admitted_share >= 1)
     return true;
-  const double weight = SizeWeight(*engine, wish) * m_demand.FairnessWeight(wish.service, now);
-  return Draw() <= part * weight;
+  const double weight = SizeWeight(*engine, query) * m_demand.FairnessWeight(query.service, now);
+  return Draw() <= admitted_share * weight;
 }
 
-void TargetTable::NoteCrowding(const TargetWish& wish, const std::vector<SpreadOption>& options,
-                               TimePoint now)
+void TargetTable::UpdateCrowding(const TargetWish& query, const std::vector<SpreadOption>& options,
+                                 TimePoint now)
 {
-  const EngineProfile* engine = EngineOf(wish.service);
+  const EngineProfile* engine = EngineOf(query.service);
   if (!engine)
     return;
-  const Duration idle = ExpectedStart(*engine, {}, wish.prompt_tokens);
+  const Duration idle = ExpectedStart(*engine, {}, query.prompt_tokens);
   const auto limit = std::chrono::duration_cast<Duration>(CROWDED_RATIO * idle);
-  const bool is_free = std::ranges::any_of(options, [limit](const SpreadOption& option)
-                                           { return option.is_near && option.cost <= limit; });
-  if (!is_free)
+  const bool can_start_soon =
+      std::ranges::any_of(options, [limit](const SpreadOption& option)
+                          { return option.is_same_hall && option.cost <= limit; });
+  if (!can_start_soon)
     m_crowded_until = now + CROWDED_TIME;
 }
 
-bool TargetTable::IsOpenFor(const TargetId& id, const Target& target, const TargetWish& wish,
+bool TargetTable::IsOpenFor(const TargetId& id, const Target& target, const TargetWish& query,
                             TimePoint now) const
 {
-  return target.listed.service == wish.service && IsOpen(target, now) && !wish.tried.contains(id);
+  return target.listed.service == query.service && IsOpen(target, now) && !query.tried.contains(id);
 }
 
-bool TargetTable::IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& wish,
+bool TargetTable::IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& query,
                                   TimePoint now) const
 {
-  return target.listed.service == wish.service && !target.listed.needs_weights &&
+  return target.listed.service == query.service && !target.listed.needs_weights &&
          target.IsListed() && AccessOf(target, now) == Access::Avoided &&
-         target.failures <= FAILURES_BORNE && !wish.tried.contains(id);
+         target.failures <= MAX_TOLERATED_FAILURES && !query.tried.contains(id);
 }
 
-void TargetTable::AddCandidate(const TargetId& id, const Target& target, const TargetWish& wish,
+void TargetTable::AddCandidate(const TargetId& id, const Target& target, const TargetWish& query,
                                TimePoint now, Candidates* candidates) const
 {
-  const Duration start = ExpectedStartAt(target, wish.prompt_tokens, now);
-  if (!HasGoodWeights(target, wish, start, now))
+  const Duration start = ExpectedStartAt(target, query.prompt_tokens, now);
+  if (!MeetsSwitchDeadlines(target, query, start, now))
     return;
-  const bool is_here = target.listed.hall == m_hall;
-  Duration cost = start + SwitchDelay(target, wish, now) / SWITCH_DELAY_SHARE + target.tie_break;
-  if (!is_here)
+  const bool is_in_this_hall = target.listed.hall == m_hall;
+  Duration cost = start + SwitchDelay(target, query, now) / SWITCH_DELAY_DIVISOR + target.tie_break;
+  if (!is_in_this_hall)
     cost += OTHER_HALL_PENALTY;
   if (IsSilent(target, now))
     cost += SILENCE_PENALTY;
@@ -311,66 +321,67 @@
   if (target.load)
     choice.report_age = now - target.load_received;
   candidates->choices.push_back(std::move(choice));
-  candidates->options.push_back({cost, is_here});
-  if (const EngineProfile* engine = EngineOf(wish.service))
-    candidates->delays_of_one += StartDelayOfOne(*engine, load, PaceOf(target));
+  candidates->options.push_back({cost, is_in_this_hall});
+  if (const EngineProfile* engine = EngineOf(query.service))
+    candidates->sum_of_delays += StartDelayPerRequest(*engine, load, PaceOf(target));
 }
 
-TargetTable::Candidates TargetTable::CandidatesFor(const TargetWish& wish, TimePoint now) const
+TargetTable::Candidates TargetTable::CandidatesFor(const TargetWish& query, TimePoint now) const
 {
-  const bool is_any_used = std::ranges::any_of(
+  const bool is_subset_open = std::ranges::any_of(
       m_targets, [&](const auto& entry)
-      { return entry.second.is_used && IsOpenFor(entry.first, entry.second, wish, now); });
+      { return entry.second.is_used && IsOpenFor(entry.first, entry.second, query, now); });
   Candidates candidates;
   for (const auto& [id, target] : m_targets)
   {
-    if ((target.is_used || !is_any_used) && IsOpenFor(id, target, wish, now))
-      AddCandidate(id, target, wish, now, &candidates);
+    if ((target.is_used || !is_subset_open) && IsOpenFor(id, target, query, now))
+      AddCandidate(id, target, query, now, &candidates);
   }
   if (!candidates.choices.empty())
     return candidates;
   for (const auto& [id, target] : m_targets)
   {
-    if (IsLastResortFor(id, target, wish, now))
-      AddCandidate(id, target, wish, now, &candidates);
+    if (IsLastResortFor(id, target, query, now))
+      AddCandidate(id, target, query, now, &candidates);
   }
   return candidates;
 }
 
-std::optional<TargetChoice> TargetTable::Choose(const TargetWish& wish, TimePoint now)
+std::optional<TargetChoice> TargetTable::Choose(const TargetWish& query, TimePoint now)
 {
-  Candidates candidates = CandidatesFor(wish, now);
-  NoteCrowding(wish, candidates.options, now);
+  Candidates candidates = CandidatesFor(query, now);
+  UpdateCrowding(query, candidates.options, now);
   if (candidates.choices.empty())
     return std::nullopt;
-  const Spread spread = SpreadOf(wish, candidates, now);
-  if (!IsAdmitted(wish, candidates.options, spread, now))
+  const SpreadParameters spread = SpreadParametersFor(query, candidates, now);
+  if (!IsAdmitted(query, candidates.options, spread, now))
     return std::nullopt;
-  TargetChoice& choice = candidates.choices[ChooseSpread(candidates.options, spread, Draw())];
+  TargetChoice& choice = candidates.choices[ChooseOption(candidates.options, spread, Draw())];
   const Target& target = m_targets.at(choice.id);
-  const auto engine = m_engines.find(wish.service);
-  if (engine != m_engines.end() && HasFreshLoad(target, now))
+  const auto engine = m_engines.find(query.service);
+  if (engine != m_engines.end() && HasValidLoad(target, now))
   {
     const EngineProfile& published = engine->second.published;
     choice.published_start =
-        ExpectedStart(published, WorkOf(target, published, now), wish.prompt_tokens);
+        ExpectedStart(published, WorkOf(target, published, now), query.prompt_tokens);
   }
   return choice;
 }
 
-ServiceRoom TargetTable::RoomFor(const TargetWish& wish, TimePoint now) const
+ServiceRoom TargetTable::RoomFor(const TargetWish& query, TimePoint now) const
 {
-  ServiceRoom room;
-  room.demand = m_demand.Around(wish.service, m_gateways, now);
-  const Candidates candidates = CandidatesFor(wish, now);
+  ServiceRoom capacity;
+  capacity.demand = m_demand.TotalDemand(query.service, m_gateways, now);
+  const Candidates candidates = CandidatesFor(query, now);
   if (candidates.choices.empty())
-    return room;
-  room.best_start = std::ranges::min_element(candidates.choices, {}, &TargetChoice::expected_start)
-                        ->expected_start;
-  if (wish.start_most)
-    room.admitted_part =
-        AdmittedPart(candidates.options, SpreadOf(wish, candidates, now), *wish.start_most);
-  return room;
+    return capacity;
+  capacity.best_start =
+      std::ranges::min_element(candidates.choices, {}, &TargetChoice::expected_start)
+          ->expected_start;
+  if (query.start_most)
+    capacity.admitted_part = AdmittedShare(
+        candidates.options, SpreadParametersFor(query, candidates, now), *query.start_most);
+  return capacity;
 }
 
 double TargetTable::Utilization(const std::string& service, TimePoint now) const
--- a/Source/Core/Gateway/TargetListing.cpp
+++ b/Source/Core/Gateway/TargetListing.cpp
@@ -19,11 +19,11 @@
 
 // The time within which a target that only its agent has reported has to appear on the platform's
 // target list. After that, the target is removed.
-static constexpr Duration LISTED_WITHIN = Milliseconds(5000);
+static constexpr Duration MAX_UNLISTED_TIME = Milliseconds(5000);
 // The time for which a target that has left the target list may continue to answer; it gets no new
 // requests.
 static constexpr Duration GONE_LIFETIME = std::chrono::minutes(2);
-static constexpr std::uint64_t TIE_BREAK_MOST_NS = 1000;
+static constexpr std::uint64_t MAX_TIE_BREAK_NS = 1000;
 
 static void LogListed(const ListedTarget& listed, TimePoint now)
 {
@@ -39,7 +39,7 @@
   std::set<TargetId> before;
   for (auto& [id, target] : m_targets)
   {
-    const bool is_awaited = target.reported_at && now - *target.reported_at < LISTED_WITHIN;
+    const bool is_awaited = target.reported_at && now - *target.reported_at < MAX_UNLISTED_TIME;
     if (!is_awaited && std::exchange(target.is_on_list, false))
       before.insert(id);
   }
@@ -66,7 +66,7 @@
       added[listed.address] = listed.id;
     target.listed = listed;
     target.tie_break =
-        std::chrono::nanoseconds(Common::StableHash(listed.id, m_seed) % TIE_BREAK_MOST_NS);
+        std::chrono::nanoseconds(Common::StableHash(listed.id, m_seed) % MAX_TIE_BREAK_NS);
   }
   for (const TargetId& id : before)
   {
@@ -77,10 +77,10 @@
   if (is_first && !list.empty())
     LogEvent(Weight::Important, now, "targets.known", "count", list.size());
   std::erase_if(m_targets, [](const auto& entry)
-                { return !entry.second.is_on_list && entry.second.own == 0; });
+                { return !entry.second.is_on_list && entry.second.local_requests == 0; });
   if (!added.empty())
-    ReplaceThoseAt(added, now);
-  UpdateReach();
+    MarkReplacedAt(added, now);
+  UpdateSubset();
 }
 
 void TargetTable::BeginIncarnation(Target& target, std::uint64_t incarnation, TimePoint now)
@@ -99,14 +99,14 @@
   target = std::move(next);
 }
 
-void TargetTable::UpdateReach()
+void TargetTable::UpdateSubset()
 {
-  const std::set<TargetId> used = m_reach.Choose(Listed(), m_gateways);
+  const std::set<TargetId> used = m_subset.Choose(Listed(), m_gateways);
   for (auto& [id, target] : m_targets)
     target.is_used = !target.listed.needs_weights || used.contains(id);
 }
 
-void TargetTable::ReplaceThoseAt(const std::map<Common::Address, TargetId>& added, TimePoint now)
+void TargetTable::MarkReplacedAt(const std::map<Common::Address, TargetId>& added, TimePoint now)
 {
   for (const auto& [id, target] : m_targets)
   {
@@ -116,7 +116,7 @@
   }
 }
 
-TargetId TargetTable::FindBefore(const Common::Address& address) const
+TargetId TargetTable::FindPredecessor(const Common::Address& address) const
 {
   const auto found = std::ranges::find_if(m_targets,
                                           [&](const auto& entry)
@@ -133,7 +133,7 @@
 {
   if (load.id.empty() || m_targets.contains(load.id) || m_gone.contains(load.id))
     return;
-  const TargetId before = FindBefore(load.address);
+  const TargetId before = FindPredecessor(load.address);
   if (before.empty())
     return;
   const Target& known = m_targets.at(before);
@@ -150,7 +150,7 @@
   m_targets[load.id] = std::move(added);
   LogEvent(Weight::Important, now, "target.reported", "target", load.id, "at",
            load.address.ToString(), "before", before);
-  ReplaceThoseAt({{load.address, load.id}}, now);
+  MarkReplacedAt({{load.address, load.id}}, now);
 }
 
 TargetId TargetTable::FindByAddress(const Common::Address& address) const
--- a/Source/Core/Gateway/TargetReach.cpp
+++ b/Source/Core/Gateway/TargetReach.cpp
@@ -11,29 +11,31 @@
 {
 // The approximate number of gateways that use one target: from its own hall, and from all other
 // halls together.
-static constexpr std::size_t NEAR_GATEWAYS_OF_TARGET = 16;
-static constexpr std::size_t FAR_GATEWAYS_OF_TARGET = 8;
+static constexpr std::size_t SAME_HALL_GATEWAYS_PER_TARGET = 16;
+static constexpr std::size_t OTHER_HALL_GATEWAYS_PER_TARGET = 8;
 // The minimum number of targets that a gateway uses in its own hall and in each other hall, or all
 // targets if the hall has fewer.
-static constexpr std::size_t NEAR_LEAST = 16;
-static constexpr std::size_t FAR_LEAST = 4;
+static constexpr std::size_t MIN_SAME_HALL_TARGETS = 16;
+static constexpr std::size_t MIN_OTHER_HALL_TARGETS = 4;
 
-std::size_t GatewayCounts::FarUsersOfTarget() const
+std::size_t GatewayCounts::OtherHallGatewaysPerTarget() const
 {
-  return std::min(all - std::min(all, near), FAR_GATEWAYS_OF_TARGET);
+  return std::min(all - std::min(all, near), OTHER_HALL_GATEWAYS_PER_TARGET);
 }
 
-// How many of `targets` each of `gateways` has to use so that `users` gateways use each target.
-static std::size_t TargetsOfEach(std::size_t targets, std::size_t gateways, std::size_t users,
-                                 std::size_t least)
+// How many of `targets` each of `gateways` has to use so that `gateways_per_target` gateways use
+// each target.
+static std::size_t TargetsPerGateway(std::size_t targets, std::size_t gateways,
+                                     std::size_t gateways_per_target, std::size_t min_targets)
 {
-  const std::size_t others = std::max<std::size_t>(gateways, 1);
-  const std::size_t even = (targets * users + others - 1) / others;
-  return std::clamp(even, std::min(least, targets), targets);
+  const std::size_t gateway_count = std::max<std::size_t>(gateways, 1);
+  const std::size_t target_count =
+      (targets * gateways_per_target + gateway_count - 1) / gateway_count;
+  return std::clamp(target_count, std::min(min_targets, targets), targets);
 }
 
-std::set<TargetId> TargetReach::Choose(const std::vector<ListedTarget>& list,
-                                       const GatewayCounts& gateways) const
+std::set<TargetId> TargetSubset::Choose(const std::vector<ListedTarget>& list,
+                                        const GatewayCounts& gateways) const
 {
   // Targets by service and hall. Each gateway ranks them in a different order, which its seed
   // determines.
@@ -50,11 +52,13 @@
   std::set<TargetId> used;
   for (auto& [group, ranked] : groups)
   {
-    const bool is_near = group.second == m_hall;
+    const bool is_same_hall = group.second == m_hall;
     const std::size_t count =
-        is_near ? TargetsOfEach(ranked.size(), gateways.near, NEAR_GATEWAYS_OF_TARGET, NEAR_LEAST)
-                : TargetsOfEach(ranked.size(), gateways.all - std::min(gateways.all, gateways.near),
-                                FAR_GATEWAYS_OF_TARGET, FAR_LEAST);
+        is_same_hall
+            ? TargetsPerGateway(ranked.size(), gateways.near, SAME_HALL_GATEWAYS_PER_TARGET,
+                                MIN_SAME_HALL_TARGETS)
+            : TargetsPerGateway(ranked.size(), gateways.all - std::min(gateways.all, gateways.near),
+                                OTHER_HALL_GATEWAYS_PER_TARGET, MIN_OTHER_HALL_TARGETS);
     const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
     std::partial_sort(ranked.begin(), end, ranked.end());
     std::ranges::transform(ranked.begin(), end, std::inserter(used, used.end()),
--- a/Source/Core/Gateway/TargetReach.h
+++ b/Source/Core/Gateway/TargetReach.h
@@ -22,14 +22,14 @@
 
   bool operator==(const GatewayCounts&) const = default;
   // The approximate number of gateways of other halls that use one target.
-  std::size_t FarUsersOfTarget() const;
+  std::size_t OtherHallGatewaysPerTarget() const;
 };
 
-class TargetReach
+class TargetSubset
 {
 public:
   // `seed` differs between gateways, so that each of them selects a different subset.
-  TargetReach(std::string hall, std::uint64_t seed) : m_hall(std::move(hall)), m_seed(seed) {}
+  TargetSubset(std::string hall, std::uint64_t seed) : m_hall(std::move(hall)), m_seed(seed) {}
 
   // The selected targets, of those that need weights. Targets of other services are not selected:
   // every gateway uses all of them.
--- a/Source/Core/Gateway/TargetTable.cpp
+++ b/Source/Core/Gateway/TargetTable.cpp
@@ -20,28 +20,28 @@
 // The age up to which a load report is taken as the target's current state.
 static constexpr Duration LOAD_LIFETIME = Milliseconds(2000);
 // How long a target is avoided after its first failure. The time doubles with each consecutive
-// failure, AVOID_DOUBLINGS times at most.
-static constexpr Duration AVOID_LEAST = Milliseconds(250);
-static constexpr std::uint32_t AVOID_DOUBLINGS = 4;
+// failure, MAX_AVOID_DOUBLINGS times at most.
+static constexpr Duration MIN_AVOID_TIME = Milliseconds(250);
+static constexpr std::uint32_t MAX_AVOID_DOUBLINGS = 4;
 // A target that has answered that it is full is avoided until it has probably finished a request.
-static constexpr Duration FULL_PAUSE = Milliseconds(60);
+static constexpr Duration FULL_AVOID_TIME = Milliseconds(60);
 // After a start of all machines, the target list names engines that have ended, until their records
 // lapse after three heartbeats of 1.2 s. Their agents report the engines that replaced them, or do
 // not report. For this time, a listed target without a report gets no requests while other agents
 // report.
-static constexpr Duration UNREPORTED_MOST = Milliseconds(4000);
+static constexpr Duration MAX_UNREPORTED_TIME = Milliseconds(4000);
 // Agents report several times a second: an agent that has been silent for this time may be
 // disconnected, and its target with it. Such a target is avoided for longer once a request could
 // not be sent to it.
 static constexpr Duration SILENT_AFTER = Milliseconds(800);
-static constexpr Duration AVOID_SILENT = Milliseconds(2000);
+static constexpr Duration SILENT_AVOID_TIME = Milliseconds(2000);
 // The divisor of an answer's lateness: each answer changes the target's lag by this fraction of it.
-static constexpr int LAG_SHARE = 4;
+static constexpr int LAG_DIVISOR = 4;
 // The minimum of an engine's expected start time: no answer counts as late before it, because the
 // time until the engine's next pass starts varies.
-static constexpr Duration EXPECTED_LEAST = Milliseconds(150);
+static constexpr Duration MIN_EXPECTED_START = Milliseconds(150);
 // The same minimum for a plain service, of which some answers take several times as long as most.
-static constexpr Duration PLAIN_EXPECTED_LEAST = Milliseconds(50);
+static constexpr Duration MIN_PLAIN_EXPECTED_START = Milliseconds(50);
 
 bool TargetTable::IsSameIncarnation(const TargetId& id, std::uint64_t incarnation) const
 {
@@ -54,7 +54,7 @@
   if (gateways == m_gateways)
     return;
   m_gateways = gateways;
-  UpdateReach();
+  UpdateSubset();
 }
 
 bool TargetTable::IsUsed(const Common::Address& address) const
@@ -79,7 +79,8 @@
   const auto found = m_targets.find(id);
   if (found == m_targets.end())
     return {};
-  return {found->second.own, static_cast<std::uint32_t>(found->second.unread_prompt_tokens)};
+  return {found->second.local_requests,
+          static_cast<std::uint32_t>(found->second.unread_prompt_tokens)};
 }
 
 std::optional<Common::Address> TargetTable::AgentOf(const TargetId& id) const
@@ -111,29 +112,29 @@
   AddReported(load, now);
   for (auto& [id, target] : m_targets)
   {
-    const bool is_of_another = !load.id.empty() && load.id != id;
-    if (target.listed.address != load.address || !target.IsListed() || is_of_another)
+    const bool is_for_other_target = !load.id.empty() && load.id != id;
+    if (target.listed.address != load.address || !target.IsListed() || is_for_other_target)
       continue;
     const std::uint64_t known = target.listed.incarnation;
-    const bool is_told = load.incarnation > 0 && known > 0;
-    if (is_told && load.incarnation < known)
+    const bool has_incarnations = load.incarnation > 0 && known > 0;
+    if (has_incarnations && load.incarnation < known)
       continue;
-    if (is_told && load.incarnation > known)
+    if (has_incarnations && load.incarnation > known)
       BeginIncarnation(target, load.incarnation, now);
-    target.own_at_load = target.own;
+    target.local_requests_at_load = target.local_requests;
     target.unread_since_load = 0;
-    target.own_waiting_at_load = target.expected.size();
+    target.local_waiting_at_load = target.expected_starts.size();
     // The target's agent reports again, so the network path to it works.
     if (IsSilent(target, now))
       target.avoid_until = std::min(target.avoid_until, now);
     target.load = load;
     target.load_received = now;
     if (target.listed.hall == m_hall)
-      m_demand.OnTold(target.listed.service, load.demand, now);
+      m_demand.OnDemandReport(target.listed.service, load.demand, now);
   }
 }
 
-bool TargetTable::HasFreshLoad(const Target& target, TimePoint now) const
+bool TargetTable::HasValidLoad(const Target& target, TimePoint now) const
 {
   return target.load && now - target.load_received <= LOAD_LIFETIME;
 }
@@ -154,9 +155,9 @@
 bool TargetTable::IsUnreported(const Target& target, TimePoint now) const
 {
   const bool is_awaited = target.listed.needs_weights && !target.load;
-  const bool do_others_report =
+  const bool do_other_agents_report =
       m_last_report != TimePoint::min() && now - m_last_report <= LOAD_LIFETIME;
-  return is_awaited && do_others_report && now - target.known_since < UNREPORTED_MOST;
+  return is_awaited && do_other_agents_report && now - target.known_since < MAX_UNREPORTED_TIME;
 }
 
 bool TargetTable::IsSilent(const Target& target, TimePoint now)
@@ -202,7 +203,7 @@
   if (found == m_targets.end() || !found->second.load)
     return false;
   const TargetLoad& load = *found->second.load;
-  const bool is_fresh = now - found->second.load_received < FRESH_LOAD;
+  const bool is_fresh = now - found->second.load_received < FRESH_LOAD_AGE;
   return is_fresh && load.is_switching && load.next_version >= version;
 }
 
@@ -210,9 +211,10 @@
                                std::uint32_t prompt_tokens, Duration expected_start, TimePoint now)
 {
   Target& target = m_targets[id];
-  ++target.own;
-  const Duration least = EngineOf(target.listed.service) ? EXPECTED_LEAST : PLAIN_EXPECTED_LEAST;
-  target.expected[request] = now + std::max(expected_start, least);
+  ++target.local_requests;
+  const Duration min_start =
+      EngineOf(target.listed.service) ? MIN_EXPECTED_START : MIN_PLAIN_EXPECTED_START;
+  target.expected_starts[request] = now + std::max(expected_start, min_start);
   target.unread_prompt_tokens += prompt_tokens;
   target.unread_since_load += prompt_tokens;
 }
@@ -225,14 +227,14 @@
     return;
   Target& target = found->second;
   target.unread_prompt_tokens = std::max(0.0, target.unread_prompt_tokens - prompt_tokens);
-  const auto expected = target.expected.extract(request);
+  const auto expected = target.expected_starts.extract(request);
   if (!expected)
     return;
   // The expected time already included the lag at the time of the dispatch, so the lateness adds to
   // it.
-  const Duration before = LagOf(target, now);
-  const Duration late = now - expected.mapped();
-  target.lag = std::max<Duration>(before + late / LAG_SHARE, Duration::zero());
+  const Duration previous_lag = LagOf(target, now);
+  const Duration lateness = now - expected.mapped();
+  target.lag = std::max<Duration>(previous_lag + lateness / LAG_DIVISOR, Duration::zero());
   target.lag_updated = now;
 }
 
@@ -243,10 +245,10 @@
   if (found == m_targets.end())
     return;
   Target& target = found->second;
-  target.own -= std::min(target.own, 1U);
-  target.expected.erase(request);
+  target.local_requests -= std::min(target.local_requests, 1U);
+  target.expected_starts.erase(request);
   target.unread_prompt_tokens = std::max(0.0, target.unread_prompt_tokens - unread_prompt_tokens);
-  if (target.own == 0 && !target.is_on_list)
+  if (target.local_requests == 0 && !target.is_on_list)
     m_targets.erase(found);
 }
 
@@ -262,11 +264,11 @@
   if (found == m_targets.end())
     return;
   Target& target = found->second;
-  const std::uint32_t doublings = std::min(target.failures, AVOID_DOUBLINGS);
+  const std::uint32_t doublings = std::min(target.failures, MAX_AVOID_DOUBLINGS);
   ++target.failures;
-  target.avoid_until = now + AVOID_LEAST * (1U << doublings);
+  target.avoid_until = now + MIN_AVOID_TIME * (1U << doublings);
   if (IsSilent(target, now))
-    target.avoid_until = std::max(target.avoid_until, now + AVOID_SILENT);
+    target.avoid_until = std::max(target.avoid_until, now + SILENT_AVOID_TIME);
   LogEvent(Weight::Important, now, "target.avoided", "target", id, "failures", target.failures,
            "for_ms", target.avoid_until - now);
 }
@@ -274,7 +276,7 @@
 void TargetTable::OnFull(const TargetId& id, TimePoint now)
 {
   if (const auto found = m_targets.find(id); found != m_targets.end())
-    found->second.avoid_until = std::max(found->second.avoid_until, now + FULL_PAUSE);
+    found->second.avoid_until = std::max(found->second.avoid_until, now + FULL_AVOID_TIME);
 }
 
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -107,7 +107,7 @@
 public:
   // `seed` determines the choices between equally good targets.
   explicit TargetTable(const std::string& hall, std::uint64_t seed = 0)
-      : m_hall(hall), m_seed(seed), m_reach(hall, seed), m_random(seed)
+      : m_hall(hall), m_seed(seed), m_subset(hall, seed), m_random(seed)
   {
   }
 
@@ -129,9 +129,9 @@
   void SetGateways(const GatewayCounts& gateways);
   // Chooses the target with the least expected time until the answer starts. Empty if there is no
   // target, or if other requests are expected to use up the remaining capacity.
-  std::optional<TargetChoice> Choose(const TargetWish& wish, Common::TimePoint now);
-  ServiceRoom RoomFor(const TargetWish& wish, Common::TimePoint now) const;
-  TargetSurvey SurveyOf(const TargetWish& wish, Common::TimePoint now) const;
+  std::optional<TargetChoice> Choose(const TargetWish& query, Common::TimePoint now);
+  ServiceRoom RoomFor(const TargetWish& query, Common::TimePoint now) const;
+  TargetSurvey SurveyOf(const TargetWish& query, Common::TimePoint now) const;
   // The number of requests that wait or run at the service's targets, divided by the number of
   // their slots.
   double Utilization(const std::string& service, Common::TimePoint now) const;
@@ -221,18 +221,18 @@
     // Another target has the address of this target. The record of this target may stay on the list
     // for a while; the target becomes available again only with a new incarnation.
     bool is_replaced = false;
-    std::uint32_t own = 0;
+    std::uint32_t local_requests = 0;
     double unread_prompt_tokens = 0;
     // Prompt tokens of the requests that this gateway sent after the last load report.
     double unread_since_load = 0;
     // The last load report of the target's agent.
     std::optional<TargetLoad> load;
-    std::uint32_t own_at_load = 0;
+    std::uint32_t local_requests_at_load = 0;
     // Requests of this gateway whose answers had not started when the last load report arrived.
-    std::size_t own_waiting_at_load = 0;
+    std::size_t local_waiting_at_load = 0;
     Common::TimePoint load_received{};
     // The unanswered requests, each with the time at which its answer was expected to start.
-    std::map<std::uint64_t, Common::TimePoint> expected;
+    std::map<std::uint64_t, Common::TimePoint> expected_starts;
     // How much later than expected the recent answers started.
     Common::Duration lag{};
     Common::TimePoint lag_updated{};
@@ -243,14 +243,14 @@
   };
 
   // A load report that is younger than this describes the present state of its target.
-  static constexpr Common::Duration FRESH_LOAD = Common::Milliseconds(500);
+  static constexpr Common::Duration FRESH_LOAD_AGE = Common::Milliseconds(500);
 
   struct Engine
   {
     Settings::EngineProfile published;
     EngineCorrection correction;
     // The published profile, corrected by the measured factor.
-    Settings::EngineProfile present;
+    Settings::EngineProfile corrected;
   };
 
   // Resets a target that has restarted under its id: all that is known describes the earlier
@@ -260,15 +260,15 @@
   {
     return m_services.empty() || m_services.contains(service);
   }
-  void UpdateReach();
+  void UpdateSubset();
   // Adds a target that its agent reports before the platform lists it.
   void AddReported(const TargetLoad& load, Common::TimePoint now);
   // The target at the address that has an agent, also if it is replaced or no longer listed; empty
   // if there is none.
-  TargetId FindBefore(const Common::Address& address) const;
+  TargetId FindPredecessor(const Common::Address& address) const;
   // Marks the earlier targets at the addresses of the added targets as replaced, because an address
   // belongs to one target at a time.
-  void ReplaceThoseAt(const std::map<Common::Address, TargetId>& added, Common::TimePoint now);
+  void MarkReplacedAt(const std::map<Common::Address, TargetId>& added, Common::TimePoint now);
   const Settings::EngineProfile* EngineOf(const std::string& service) const;
   double LoadOf(const Target& target, Common::TimePoint now) const;
   // The load of a target without an agent. The requests that the other gateways have there are
@@ -276,11 +276,11 @@
   double PlainLoadOf(const Target& target, Common::TimePoint now) const;
   // The mean time that a plain service takes for an answer.
   Common::Duration PlainTimeOf(const std::string& service) const;
-  Common::Duration PlainStart(const Target& target, Common::TimePoint now) const;
+  Common::Duration ExpectedPlainStart(const Target& target, Common::TimePoint now) const;
   std::size_t ListedCount(const std::string& service) const;
   // Factor by which the target is slower than its engine profile, as its agent reports it.
   static double PaceOf(const Target& target) { return target.load ? target.load->pace : 1; }
-  bool HasFreshLoad(const Target& target, Common::TimePoint now) const;
+  bool HasValidLoad(const Target& target, Common::TimePoint now) const;
   // The work that the target has, as far as is known.
   TargetWork WorkOf(const Target& target, const Settings::EngineProfile& engine,
                     Common::TimePoint now) const;
@@ -291,36 +291,36 @@
     std::vector<SpreadOption> options;
     // The sum over all candidates of the time by which one more request delays the next one at that
     // target.
-    Common::Duration delays_of_one{};
+    Common::Duration sum_of_delays{};
   };
-  Spread SpreadOf(const TargetWish& wish, const Candidates& candidates,
-                  Common::TimePoint now) const;
+  SpreadParameters SpreadParametersFor(const TargetWish& query, const Candidates& candidates,
+                                       Common::TimePoint now) const;
   // The open targets in the subset that this gateway uses, or all open targets if none of the
   // subset is open. If no target is open, the candidates are avoided targets that qualify as a last
   // resort.
-  Candidates CandidatesFor(const TargetWish& wish, Common::TimePoint now) const;
-  void AddCandidate(const TargetId& id, const Target& target, const TargetWish& wish,
+  Candidates CandidatesFor(const TargetWish& query, Common::TimePoint now) const;
+  void AddCandidate(const TargetId& id, const Target& target, const TargetWish& query,
                     Common::TimePoint now, Candidates* candidates) const;
-  bool IsOpenFor(const TargetId& id, const Target& target, const TargetWish& wish,
+  bool IsOpenFor(const TargetId& id, const Target& target, const TargetWish& query,
                  Common::TimePoint now) const;
   // Whether a target that has failed may be used because there is no other target.
-  bool IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& wish,
+  bool IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& query,
                        Common::TimePoint now) const;
   // Decides whether the request is sent now, among all requests that compete for the remaining
   // capacity.
-  bool IsAdmitted(const TargetWish& wish, const std::vector<SpreadOption>& options,
-                  const Spread& spread, Common::TimePoint now);
+  bool IsAdmitted(const TargetWish& query, const std::vector<SpreadOption>& options,
+                  const SpreadParameters& spread, Common::TimePoint now);
   // A random number, uniformly distributed from 0 to 1.
   double Draw();
   // Records when no target of this hall can start the request soon.
-  void NoteCrowding(const TargetWish& wish, const std::vector<SpreadOption>& options,
-                    Common::TimePoint now);
+  void UpdateCrowding(const TargetWish& query, const std::vector<SpreadOption>& options,
+                      Common::TimePoint now);
   std::uint64_t WeightsOf(const Target& target) const;
   // How much later than twice the expected start time a request may start at the target.
   Common::Duration StartMargin(const Target& target, Common::TimePoint now) const;
   // Whether a request that is sent now would start with weights that are new enough at that time.
-  bool HasGoodWeights(const Target& target, const TargetWish& wish, Common::Duration start,
-                      Common::TimePoint now) const;
+  bool MeetsSwitchDeadlines(const Target& target, const TargetWish& query, Common::Duration start,
+                            Common::TimePoint now) const;
   Common::Duration ExpectedStartAt(const Target& target, std::uint32_t prompt_tokens,
                                    Common::TimePoint now) const;
   Common::Duration LagOf(const Target& target, Common::TimePoint now) const;
@@ -344,12 +344,12 @@
   bool IsOpen(const Target& target, Common::TimePoint now) const;
   // The time by which a request that starts at the target now would delay the target's planned
   // switch to another version of the weights.
-  Common::Duration SwitchDelay(const Target& target, const TargetWish& wish,
+  Common::Duration SwitchDelay(const Target& target, const TargetWish& query,
                                Common::TimePoint now) const;
 
   std::string m_hall;
   std::uint64_t m_seed;
-  TargetReach m_reach;
+  TargetSubset m_subset;
   GatewayCounts m_gateways;
   std::map<TargetId, Target> m_targets;
   // Targets that have left the target list but may still answer, with the time at which they left.
@@ -359,7 +359,7 @@
   // The mean request time by service, for services without an engine.
   std::map<std::string, Common::Duration> m_plain_times;
   std::mt19937_64 m_random;
-  DemandWatch m_demand;
+  DemandTracker m_demand;
   Common::TimePoint m_crowded_until{};
   // When the last report of any agent arrived.
   Common::TimePoint m_last_report = Common::TimePoint::min();
--- a/Source/Core/Gateway/TargetTimes.cpp
+++ b/Source/Core/Gateway/TargetTimes.cpp
@@ -21,12 +21,12 @@
 static constexpr Duration PLAIN_REQUEST_TIME = Milliseconds(20);
 // The divisor of the moving average of a plain service's request time: each answer changes the
 // average by this fraction of its difference.
-static constexpr int PLAIN_TIME_SHARE = 16;
+static constexpr int PLAIN_TIME_DIVISOR = 16;
 
 const EngineProfile* TargetTable::EngineOf(const std::string& service) const
 {
   const auto found = m_engines.find(service);
-  return found == m_engines.end() ? nullptr : &found->second.present;
+  return found == m_engines.end() ? nullptr : &found->second.corrected;
 }
 
 void TargetTable::SetEngine(const std::string& service, const std::optional<EngineProfile>& engine)
@@ -56,7 +56,7 @@
   if (found == m_engines.end())
   {
     const Duration before = PlainTimeOf(service);
-    m_plain_times[service] = before + (took - before) / PLAIN_TIME_SHARE;
+    m_plain_times[service] = before + (took - before) / PLAIN_TIME_DIVISOR;
     return;
   }
   // With a queue in front of the request, the measured time shows the queue and not the engine.
@@ -68,7 +68,7 @@
   const double factor = engine.correction.Factor();
   if (factor == before)
     return;
-  engine.present = Corrected(engine.published, factor);
+  engine.corrected = Corrected(engine.published, factor);
   if (EngineCorrection::IsNotable(before, factor))
   {
     LogEvent(Weight::Important, now, "engine.corrected", "service", service, "factor", factor,
@@ -82,7 +82,7 @@
   return found == m_plain_times.end() ? PLAIN_REQUEST_TIME : found->second;
 }
 
-Duration TargetTable::PlainStart(const Target& target, TimePoint now) const
+Duration TargetTable::ExpectedPlainStart(const Target& target, TimePoint now) const
 {
   const double load = LoadOf(target, now);
   const double slots = std::max<std::uint32_t>(target.listed.slots, 1);
--- a/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
+++ b/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
@@ -27,7 +27,7 @@
     }
   }
 
-  DemandWatch demand;
+  DemandTracker demand;
   Common::TimePoint now{std::chrono::hours(1)};
 };
 } // namespace
@@ -53,17 +53,17 @@
 TEST_CASE("The demand at the other gateways is taken from the reports of the targets' agents")
 {
   Fixture f;
-  f.demand.OnTold(SERVICE, {700, 90, 0.1}, f.now);
-  CHECK(f.demand.Around(SERVICE, GATEWAYS, f.now) == GatewayDemand{700, 90, 0.1});
+  f.demand.OnDemandReport(SERVICE, {700, 90, 0.1}, f.now);
+  CHECK(f.demand.TotalDemand(SERVICE, GATEWAYS, f.now) == GatewayDemand{700, 90, 0.1});
 
   SUBCASE("without reports, each other gateway is assumed to have as many arrivals as this one")
   {
     f.now += Milliseconds(2500);
     f.demand.OnArrival(SERVICE, f.now);
     const double own = f.demand.ArrivalsPerSecond(SERVICE, f.now);
-    const GatewayDemand around = f.demand.Around(SERVICE, GATEWAYS, f.now);
-    CHECK(around.near_per_second == doctest::Approx(10 * own));
-    CHECK(around.far_per_second == doctest::Approx(8 * own));
+    const GatewayDemand total = f.demand.TotalDemand(SERVICE, GATEWAYS, f.now);
+    CHECK(total.near_per_second == doctest::Approx(10 * own));
+    CHECK(total.far_per_second == doctest::Approx(8 * own));
   }
 }
 
@@ -72,15 +72,15 @@
   Fixture often(2);
   Fixture never;
   const GatewayDemand all{700, 90, 0.25};
-  often.demand.OnTold(SERVICE, all, often.now);
-  never.demand.OnTold(SERVICE, all, never.now);
+  often.demand.OnDemandReport(SERVICE, all, often.now);
+  never.demand.OnDemandReport(SERVICE, all, never.now);
   CHECK(often.demand.FairnessWeight(SERVICE, often.now) > 1.5);
   CHECK(never.demand.FairnessWeight(SERVICE, never.now) < 0.7);
 
   SUBCASE("the weight is 10 at most, and 1 without reports on the others")
   {
     Fixture always(1);
-    always.demand.OnTold(SERVICE, {700, 90, 0}, always.now);
+    always.demand.OnDemandReport(SERVICE, {700, 90, 0}, always.now);
     CHECK(always.demand.FairnessWeight(SERVICE, always.now) == 10);
     CHECK(always.demand.FairnessWeight(SERVICE, always.now + Milliseconds(2500)) == 1);
     CHECK(always.demand.FairnessWeight("desk", always.now) == 1);
--- a/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
+++ b/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
@@ -65,16 +65,16 @@
 {
   Fixture f;
   f.table.SetList({f.one, f.two}, f.now);
-  const TargetWish wish = {"llm", 1000, 100, {}, {}};
+  const TargetWish query = {"llm", 1000, 100, {}, {}};
   SUBCASE("while no agent reports, all targets are used: their agents may be down")
   {
-    CHECK(f.table.SurveyOf(wish, f.now).open == 2);
+    CHECK(f.table.SurveyOf(query, f.now).open == 2);
   }
   SUBCASE("it gets no requests once another target is reported, even if that target is busy")
   {
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     CHECK(f.table.Reported() == 1);
-    CHECK(f.table.SurveyOf(wish, f.now).unreported == 1);
+    CHECK(f.table.SurveyOf(query, f.now).unreported == 1);
     CHECK(f.Choose()->id == "2");
   }
   SUBCASE("it gets requests after its first report")
@@ -88,13 +88,13 @@
   {
     f.now += Milliseconds(5000);
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
-    CHECK(f.table.SurveyOf(wish, f.now).open == 2);
+    CHECK(f.table.SurveyOf(query, f.now).open == 2);
   }
   SUBCASE("it is used when all agents stop reporting")
   {
     f.table.OnLoad(MakeLoad(f.two, 16), f.now);
     f.now += Milliseconds(2500);
-    CHECK(f.table.SurveyOf(wish, f.now).unreported == 0);
+    CHECK(f.table.SurveyOf(query, f.now).unreported == 0);
   }
 }
 
--- a/Source/UnitTests/Core/Gateway/StartEstimateTest.cpp
+++ b/Source/UnitTests/Core/Gateway/StartEstimateTest.cpp
@@ -30,7 +30,7 @@
 TEST_CASE("Generating an answer takes one pass for each event after the first")
 {
   const Settings::EngineProfile engine = Testing::MakeEngine(16);
-  CHECK(ExpectedWriting(engine, {}, 100) == Milliseconds(950));
-  CHECK(ExpectedWriting(engine, {}, 5) == Milliseconds(0));
-  CHECK(ExpectedWriting(engine, {}, 0) == Milliseconds(0));
+  CHECK(ExpectedGeneration(engine, {}, 100) == Milliseconds(950));
+  CHECK(ExpectedGeneration(engine, {}, 5) == Milliseconds(0));
+  CHECK(ExpectedGeneration(engine, {}, 0) == Milliseconds(0));
 }
--- a/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
@@ -49,8 +49,8 @@
   }
   SUBCASE("an earlier switch deadline holds beside a later one")
   {
-    const TargetWish wish{"llm", 1000, 100, {}, {{2, f.now}, {3, f.now + Milliseconds(3000)}}};
-    CHECK(f.Choose(wish)->id == "2");
+    const TargetWish query{"llm", 1000, 100, {}, {{2, f.now}, {3, f.now + Milliseconds(3000)}}};
+    CHECK(f.Choose(query)->id == "2");
   }
 }
 
@@ -74,12 +74,12 @@
 TEST_CASE("Unprocessed prompts of other gateways delay a request")
 {
   Fixture f;
-  TargetLoad flooded = MakeLoad(f.one, 4);
-  flooded.unread_prompt_tokens = 8000;
-  f.table.OnLoad(flooded, f.now);
-  TargetLoad calm = MakeLoad(f.two, 10);
-  calm.unread_prompt_tokens = 0;
-  f.table.OnLoad(calm, f.now);
+  TargetLoad many_unread = MakeLoad(f.one, 4);
+  many_unread.unread_prompt_tokens = 8000;
+  f.table.OnLoad(many_unread, f.now);
+  TargetLoad none_unread = MakeLoad(f.two, 10);
+  none_unread.unread_prompt_tokens = 0;
+  f.table.OnLoad(none_unread, f.now);
   CHECK(f.Choose()->id == "2");
   CHECK(f.Choose()->expected_start < Milliseconds(200));
 
@@ -108,32 +108,32 @@
   f.table.OnLoad(MakeLoad(f.one, 60), f.now);
   f.table.OnLoad(MakeLoad(f.two, 15), f.now);
   f.table.OnArrival("llm", f.now);
-  TargetWish wish{"llm", 1000, 100, {}, {}, 1, Milliseconds(400)};
+  TargetWish query{"llm", 1000, 100, {}, {}, 1, Milliseconds(400)};
   // Enough queries to measure a share to within a few hundredths.
-  static constexpr int WISHES = 4000;
+  static constexpr int QUERIES = 4000;
   const auto count_sent = [&]
   {
     int sent = 0;
-    for (int i = 0; i < WISHES; ++i)
-      sent += f.Choose(wish).has_value() ? 1 : 0;
+    for (int i = 0; i < QUERIES; ++i)
+      sent += f.Choose(query).has_value() ? 1 : 0;
     return sent;
   };
-  CHECK(count_sent() < WISHES / 4);
+  CHECK(count_sent() < QUERIES / 4);
 
   SUBCASE("a single gateway may send all requests")
   {
     f.table.SetGateways({1, 1});
-    CHECK(count_sent() == WISHES);
+    CHECK(count_sent() == QUERIES);
   }
   SUBCASE("small requests are admitted more often, and some large ones still are")
   {
     const int usual = count_sent();
-    wish.prompt_tokens = 100;
-    wish.answer_tokens = 20;
+    query.prompt_tokens = 100;
+    query.answer_tokens = 20;
     const int small = count_sent();
     CHECK(small > 1.5 * usual);
-    wish.prompt_tokens = 2500;
-    wish.answer_tokens = 400;
+    query.prompt_tokens = 2500;
+    query.answer_tokens = 400;
     const int large = count_sent();
     CHECK(large < 0.8 * usual);
     CHECK(large > 0);
@@ -153,22 +153,22 @@
   }
   SUBCASE("a request without a maximum start time is always admitted")
   {
-    wish.start_most.reset();
-    CHECK(count_sent() == WISHES);
+    query.start_most.reset();
+    CHECK(count_sent() == QUERIES);
   }
 }
 
 TEST_CASE("A target in another hall whose report is old is assumed to be as busy as the others")
 {
   TargetTable table("here");
-  const ListedTarget near = MakeTarget("1");
-  const ListedTarget far = MakeTarget("2", "there");
+  const ListedTarget same_hall = MakeTarget("1");
+  const ListedTarget other_hall = MakeTarget("2", "there");
   table.SetEngine("llm", Testing::MakeEngine(16));
-  table.SetList({near, far}, START);
-  table.OnLoad(MakeLoad(far, 0), START);
+  table.SetList({same_hall, other_hall}, START);
+  table.OnLoad(MakeLoad(other_hall, 0), START);
   const auto chosen = [&](Common::TimePoint now)
   {
-    table.OnLoad(MakeLoad(near, 16), now);
+    table.OnLoad(MakeLoad(same_hall, 16), now);
     return table.Choose({"llm", 1000, 100, {}, {}}, now)->id;
   };
   CHECK(chosen(START + Milliseconds(100)) == "2");
@@ -176,7 +176,7 @@
 
   SUBCASE("it is used when nothing else can start the request soon")
   {
-    table.OnLoad(MakeLoad(near, 24), START + Milliseconds(610));
+    table.OnLoad(MakeLoad(same_hall, 24), START + Milliseconds(610));
     CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START + Milliseconds(610))->id == "2");
   }
 }
@@ -184,13 +184,13 @@
 TEST_CASE("Other halls are needed while nothing in this hall can start a request soon")
 {
   TargetTable table("here");
-  const ListedTarget near = MakeTarget("1");
+  const ListedTarget same_hall = MakeTarget("1");
   table.SetEngine("llm", Testing::MakeEngine(16));
-  table.SetList({near, MakeTarget("2", "there")}, START);
-  table.OnLoad(MakeLoad(near, 8), START);
+  table.SetList({same_hall, MakeTarget("2", "there")}, START);
+  table.OnLoad(MakeLoad(same_hall, 8), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START));
   CHECK(!table.NeedsOtherHalls(START));
-  table.OnLoad(MakeLoad(near, 20), START);
+  table.OnLoad(MakeLoad(same_hall, 20), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START));
   CHECK(table.NeedsOtherHalls(START));
   CHECK(!table.NeedsOtherHalls(START + Milliseconds(5000)));
--- a/Source/UnitTests/Core/Gateway/TargetTableFixture.h
+++ b/Source/UnitTests/Core/Gateway/TargetTableFixture.h
@@ -44,9 +44,9 @@
     table.SetEngine("llm", Testing::MakeEngine(16));
     table.SetList({one, two}, START);
   }
-  std::optional<TargetChoice> Choose(const TargetWish& wish = {"llm", 1000, 100, {}, {}})
+  std::optional<TargetChoice> Choose(const TargetWish& query = {"llm", 1000, 100, {}, {}})
   {
-    return table.Choose(wish, now);
+    return table.Choose(query, now);
   }
 
   ListedTarget one = MakeTarget("1");
--- a/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
@@ -64,14 +64,14 @@
 TEST_CASE("A target in another hall is chosen only if it is faster by more than the penalty")
 {
   TargetTable table("here");
-  const ListedTarget near = MakeTarget("1");
-  const ListedTarget far = MakeTarget("2", "there");
+  const ListedTarget same_hall = MakeTarget("1");
+  const ListedTarget other_hall = MakeTarget("2", "there");
   table.SetEngine("llm", Testing::MakeEngine(16));
-  table.SetList({near, far}, START);
-  table.OnLoad(MakeLoad(near, 8), START);
-  table.OnLoad(MakeLoad(far, 8), START);
+  table.SetList({same_hall, other_hall}, START);
+  table.OnLoad(MakeLoad(same_hall, 8), START);
+  table.OnLoad(MakeLoad(other_hall, 8), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START)->id == "1");
-  table.OnLoad(MakeLoad(near, 17), START);
+  table.OnLoad(MakeLoad(same_hall, 17), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START)->id == "2");
 }
 
@@ -125,16 +125,16 @@
 TEST_CASE("The network delay to a target adds to its expected start")
 {
   Fixture f;
-  TargetLoad squeezed = MakeLoad(f.one, 0);
+  TargetLoad delayed = MakeLoad(f.one, 0);
   SUBCASE("as the round-trip time of messages and reports shows it")
   {
-    squeezed.round_trip = Milliseconds(1700);
+    delayed.round_trip = Milliseconds(1700);
   }
   SUBCASE("as the target's agent expects it")
   {
-    squeezed.inbound_delay = Milliseconds(1700);
+    delayed.inbound_delay = Milliseconds(1700);
   }
-  f.table.OnLoad(squeezed, f.now);
+  f.table.OnLoad(delayed, f.now);
   f.table.OnLoad(MakeLoad(f.two, 16), f.now);
   CHECK(f.Choose()->id == "2");
 }
