--- a/Source/Core/Gateway/DemandWatch.cpp
+++ b/Source/Core/Gateway/DemandWatch.cpp
@@ -13,8 +13,9 @@
 static constexpr Common::Milliseconds REPORT_LIFETIME = Common::Milliseconds(2000);
 // With fewer arrivals per second, the refused share is too uncertain to be used.
 static constexpr double MIN_ARRIVALS_PER_SECOND = 1;
-// The exponent of the fairness weight, which favours a gateway that serves a smaller share than the
-// other gateways, and the maximum of that weight.
+// The fairness weight is the ratio of the share of requests that the other gateways serve to the
+// share that this gateway serves, raised to this exponent and limited to this maximum, and to its
+// reciprocal as the minimum.
 static constexpr double FAIRNESS_EXPONENT = 2;
 static constexpr double MAX_FAIRNESS_WEIGHT = 10;
 // Added to each served share of all requests, so that a gateway that serves none can be compared.
--- a/Source/Core/Gateway/EngineCorrection.cpp
+++ b/Source/Core/Gateway/EngineCorrection.cpp
@@ -10,7 +10,8 @@
 // Published times count as correct within this factor in both directions: the first event of a
 // batch arrives up to half a pass earlier or later than the average.
 static constexpr double TOLERATED_RATIO = 1.25;
-// A larger error of the published times has another cause, such as a wrong unit.
+// The maximum factor, and the reciprocal of the minimum: a larger error of the published times has
+// another cause, such as a wrong unit.
 static constexpr double MAX_FACTOR = 32;
 
 void EngineCorrection::OnStart(Common::Duration published, Common::Duration took)
--- a/Source/Core/Gateway/EngineCorrection.h
+++ b/Source/Core/Gateway/EngineCorrection.h
@@ -15,7 +15,7 @@
 class EngineCorrection
 {
 public:
-  // Records that an answer started after `took`, where the published times predict `published`.
+  // Records that an answer started after `measured`, where the published times predict `published`.
   void OnStart(Common::Duration published, Common::Duration took);
   // The factor by which the published times have to be multiplied.
   double Factor() const { return m_factor; }
--- a/Source/Core/Gateway/SpreadChoice.h
+++ b/Source/Core/Gateway/SpreadChoice.h
@@ -14,8 +14,8 @@
 {
   // The cost of the target for this gateway.
   Common::Duration cost{};
-  // Whether the target is in this gateway's hall. For gateways of other halls, such a target costs
-  // the penalty more.
+  // Whether the target is in this gateway's hall. Gateways of other halls add the penalty to the
+  // cost of such a target.
   bool is_same_hall = true;
 };
 
@@ -39,10 +39,10 @@
 double AdmittedShare(const std::vector<SpreadOption>& options, const SpreadParameters& spread,
                      Common::Duration limit);
 
-// Chooses an option at random and returns its index. The probability of an option is its share of
-// the expected requests when these are distributed so that all options in use end up with the same
-// cost. Without expected requests it is the cheapest option. `draw` is uniformly distributed from 0
-// to 1. `options` must not be empty.
+// Chooses an option at random and returns its index. The expected requests are distributed so that
+// all options that get any of them end up with the same cost; the probability of an option is its
+// share of these requests. Without expected requests, the cheapest option is chosen. `draw` is a
+// random number, uniformly distributed from 0 to 1. `options` must not be empty.
 std::size_t ChooseOption(const std::vector<SpreadOption>& options, const SpreadParameters& spread,
                          double draw);
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/TargetChoosing.cpp
+++ b/Source/Core/Gateway/TargetChoosing.cpp
@@ -38,13 +38,15 @@
 static constexpr Duration LOAD_REPORT_DELAY = Milliseconds(25);
 // While an engine also generates answers, it processes prompts at this share of its full speed.
 static constexpr double PROMPT_SPEED_SHARE = 0.3;
-// Targets in other halls are considered while the best target of this hall would start a request
-// later than an idle target by more than this factor, and for CROWDED_TIME after that.
+// This hall counts as crowded, so that targets of other halls are needed, while the cost of each of
+// its targets is more than this multiple of the time in which an idle target would start the
+// request, and for CROWDED_TIME after that.
 static constexpr double CROWDED_RATIO = 1.6;
 static constexpr Duration CROWDED_TIME = Milliseconds(1500);
-// The divisor of the delay by which a request would hold up a target's switch: this fraction of the
-// delay is the cost for other requests. With a larger fraction the engine runs half empty before
-// its switch; with none, long answers hold up switches until the switch deadline.
+// The divisor of the delay that a request would cause to a target's planned switch. The quotient is
+// added to the cost of the target, because the delay affects other requests. If a larger fraction
+// of the delay is added, the engine runs half empty before its switch; if nothing is added, long
+// answers hold up switches until the switch deadline.
 static constexpr int SWITCH_DELAY_DIVISOR = 6;
 // The time constant of the exponential decay of a target's measured lag.
 static constexpr double LAG_DECAY_SECONDS = 2;
@@ -53,8 +55,8 @@
 // largest requests are served least.
 static constexpr double MIN_SIZE_WEIGHT = 0.9;
 static constexpr double MAX_SIZE_WEIGHT = 1.5;
-// Consecutive failures that the requests themselves may have caused: a target with no more failures
-// than this is used in spite of them if there is no other target.
+// The maximum number of consecutive failures of a plain service's target that the requests
+// themselves may have caused: up to this number, the target is used if there is no other target.
 static constexpr std::uint32_t MAX_TOLERATED_FAILURES = 2;
 
 TargetWork TargetTable::WorkOf(const Target& target, const EngineProfile& engine,
--- a/Source/Core/Gateway/TargetTable.cpp
+++ b/Source/Core/Gateway/TargetTable.cpp
@@ -17,7 +17,7 @@
 using Common::Weight;
 using Settings::EngineProfile;
 
-// The age up to which a load report is taken as the target's current state.
+// The age up to which a load report is used; an older one says nothing about the present.
 static constexpr Duration LOAD_LIFETIME = Milliseconds(2000);
 // How long a target is avoided after its first failure. The time doubles with each consecutive
 // failure, MAX_AVOID_DOUBLINGS times at most.
@@ -27,8 +27,8 @@
 static constexpr Duration FULL_AVOID_TIME = Milliseconds(60);
 // After a start of all machines, the target list names engines that have ended, until their records
 // lapse after three heartbeats of 1.2 s. Their agents report the engines that replaced them, or do
-// not report. For this time, a listed target without a report gets no requests while other agents
-// report.
+// not report. Until it has been known for this time, a listed target without a report gets no
+// requests while other agents report.
 static constexpr Duration MAX_UNREPORTED_TIME = Milliseconds(4000);
 // Agents report several times a second: an agent that has been silent for this time may be
 // disconnected, and its target with it. Such a target is avoided for longer once a request could
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -190,8 +190,8 @@
   std::size_t Reported() const;
   // All targets that are listed and not replaced.
   std::vector<ListedTarget> Listed() const;
-  // IsUsed() tells whether this gateway sends to the target at the address as long as it can;
-  // Used() returns the addresses of all such targets that have agents.
+  // IsUsed() tells whether the listed target at the address belongs to the subset that this gateway
+  // uses. Used() returns the addresses of all targets of the subset that have agents.
   bool IsUsed(const Common::Address& address) const;
   std::vector<Common::Address> Used() const;
   // Whether targets of other halls are needed, because the best target of this hall would start a
@@ -242,7 +242,8 @@
     bool IsListed() const { return is_on_list && !is_replaced; }
   };
 
-  // A load report that is younger than this describes the present state of its target.
+  // A load report that is younger than this is recent enough to tell which requests the target has
+  // received, and whether it is switching to another version.
   static constexpr Common::Duration FRESH_LOAD_AGE = Common::Milliseconds(500);
 
   struct Engine
@@ -263,8 +264,8 @@
   void UpdateSubset();
   // Adds a target that its agent reports before the platform lists it.
   void AddReported(const TargetLoad& load, Common::TimePoint now);
-  // The target at the address that has an agent, also if it is replaced or no longer listed; empty
-  // if there is none.
+  // A target at the address, if it has an agent. The target may have been replaced or may have left
+  // the target list. Empty if there is none.
   TargetId FindPredecessor(const Common::Address& address) const;
   // Marks the earlier targets at the addresses of the added targets as replaced, because an address
   // belongs to one target at a time.
@@ -303,11 +304,12 @@
                     Common::TimePoint now, Candidates* candidates) const;
   bool IsOpenFor(const TargetId& id, const Target& target, const TargetWish& query,
                  Common::TimePoint now) const;
-  // Whether a target that has failed may be used because there is no other target.
+  // Whether a plain service's target that is avoided after failures may be used because there is no
+  // other target.
   bool IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& query,
                        Common::TimePoint now) const;
-  // Decides whether the request is sent now, among all requests that compete for the remaining
-  // capacity.
+  // Whether the request may be sent now. If the targets cannot start all expected requests in time,
+  // requests are admitted at random, with a probability that depends on the admitted share.
   bool IsAdmitted(const TargetWish& query, const std::vector<SpreadOption>& options,
                   const SpreadParameters& spread, Common::TimePoint now);
   // A random number, uniformly distributed from 0 to 1.
@@ -316,7 +318,8 @@
   void UpdateCrowding(const TargetWish& query, const std::vector<SpreadOption>& options,
                       Common::TimePoint now);
   std::uint64_t WeightsOf(const Target& target) const;
-  // How much later than twice the expected start time a request may start at the target.
+  // The time that is added to twice the expected start time to get the latest start of a request at
+  // the target.
   Common::Duration StartMargin(const Target& target, Common::TimePoint now) const;
   // Whether a request that is sent now would start with weights that are new enough at that time.
   bool MeetsSwitchDeadlines(const Target& target, const TargetWish& query, Common::Duration start,
--- a/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
@@ -36,14 +36,14 @@
     f.table.SetList({f.one, f.two}, f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("a target that switches to other weights gets nothing")
+  SUBCASE("a target that switches to other weights gets no requests")
   {
     TargetLoad load = MakeLoad(f.two, 0);
     load.is_switching = true;
     f.table.OnLoad(load, f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("a target without weights gets nothing")
+  SUBCASE("a target without weights gets no requests")
   {
     f.two.weights_version = 0;
     f.table.SetList({f.one, f.two}, f.now);
@@ -86,7 +86,7 @@
   CHECK(f.Choose()->id == "2");
 }
 
-TEST_CASE("A target that answers late is chosen less")
+TEST_CASE("A target that answers late is chosen less often")
 {
   Fixture f;
   f.table.OnLoad(MakeLoad(f.one, 0), f.now);
