--- a/Source/Core/Gateway/DemandWatch.cpp
+++ b/Source/Core/Gateway/DemandWatch.cpp
@@ -19,7 +19,7 @@
 static constexpr double FAIRNESS_EXPONENT = 2;
 static constexpr double MAX_FAIRNESS_WEIGHT = 10;
 // Added to each served share of all requests, so that a gateway that serves none can be compared.
-static constexpr double MIN_SERVED_SHARE = 0.05;
+static constexpr double SERVED_SHARE_OFFSET = 0.05;
 
 void EventRate::OnEvent(TimePoint now)
 {
@@ -90,8 +90,8 @@
   const Service* tracked = Find(service);
   if (!tracked || now - tracked->reported_at > REPORT_LIFETIME)
     return 1;
-  const double served_by_others = 1 - tracked->reported.refused_share + MIN_SERVED_SHARE;
-  const double served_locally = 1 - RefusedShare(service, now) + MIN_SERVED_SHARE;
+  const double served_by_others = 1 - tracked->reported.refused_share + SERVED_SHARE_OFFSET;
+  const double served_locally = 1 - RefusedShare(service, now) + SERVED_SHARE_OFFSET;
   return std::clamp(std::pow(served_by_others / served_locally, FAIRNESS_EXPONENT),
                     1 / MAX_FAIRNESS_WEIGHT, MAX_FAIRNESS_WEIGHT);
 }
--- a/Source/Core/Gateway/EngineCorrection.cpp
+++ b/Source/Core/Gateway/EngineCorrection.cpp
@@ -14,10 +14,10 @@
 // another cause, such as a wrong unit.
 static constexpr double MAX_FACTOR = 32;
 
-void EngineCorrection::OnStart(Common::Duration published, Common::Duration took)
+void EngineCorrection::OnStart(Common::Duration published, Common::Duration measured)
 {
   using Seconds = std::chrono::duration<double>;
-  m_ratios[m_count % KEPT_STARTS] = Seconds(took) / Seconds(published);
+  m_ratios[m_count % KEPT_STARTS] = Seconds(measured) / Seconds(published);
   ++m_count;
   if (m_count < MIN_STARTS)
     return;
--- a/Source/Core/Gateway/EngineCorrection.h
+++ b/Source/Core/Gateway/EngineCorrection.h
@@ -16,7 +16,7 @@
 {
 public:
   // Records that an answer started after `measured`, where the published times predict `published`.
-  void OnStart(Common::Duration published, Common::Duration took);
+  void OnStart(Common::Duration published, Common::Duration measured);
   // The factor by which the published times have to be multiplied.
   double Factor() const { return m_factor; }
   // Whether a change of the factor is large enough for a log event.
--- a/Source/Core/Gateway/TargetChoosing.cpp
+++ b/Source/Core/Gateway/TargetChoosing.cpp
@@ -27,7 +27,7 @@
 // a switch deadline, many gateways send to the few targets that may still be used, and know little
 // of each other's requests.
 static constexpr Duration START_MARGIN = Milliseconds(400);
-static constexpr Duration START_MARGIN_UNREPORTED = Milliseconds(2000);
+static constexpr Duration START_MARGIN_OLD_REPORT = Milliseconds(2000);
 // The margin for a target from which no report arrives: requests to it may be in transit for
 // seconds.
 static constexpr Duration START_MARGIN_SILENT = Milliseconds(4000);
@@ -142,29 +142,29 @@
     if (target.listed.service != query.service || !target.IsListed())
       continue;
     ++summary.listed;
-    switch (AccessOf(target, now))
+    switch (AvailabilityOf(target, now))
     {
-    case Access::Open:
+    case Availability::Open:
     {
       const Duration start = ExpectedStartAt(target, query.prompt_tokens, now);
       ++(MeetsSwitchDeadlines(target, query, start, now) ? summary.open : summary.old_weights);
       break;
     }
-    case Access::Leaving:
+    case Availability::Leaving:
       ++summary.leaving;
       break;
-    case Access::Avoided:
+    case Availability::Avoided:
       ++summary.avoided;
       break;
-    case Access::Switching:
+    case Availability::Switching:
       ++summary.switching;
       summary.switching_room += static_cast<double>(target.listed.slots) /
                                 static_cast<double>(std::max<std::size_t>(m_gateways.all, 1));
       break;
-    case Access::WithoutWeights:
+    case Availability::WithoutWeights:
       ++summary.without_weights;
       break;
-    case Access::Unreported:
+    case Availability::Unreported:
       ++summary.unreported;
       break;
     }
@@ -185,13 +185,13 @@
 Duration TargetTable::LagOf(const Target& target, TimePoint now) const
 {
   const double age = std::chrono::duration<double>(now - target.lag_updated).count();
-  const Duration learnt =
+  const Duration decayed_lag =
       std::chrono::duration_cast<Duration>(target.lag * std::exp(-age / LAG_DECAY_SECONDS));
   // An answer that is overdue now says more than the answers that arrived.
   Duration overdue{};
   for (const auto& [request, expected] : target.expected_starts)
     overdue = std::max(overdue, now - expected);
-  return std::max({learnt, overdue, WayTo(target)});
+  return std::max({decayed_lag, overdue, WayTo(target)});
 }
 
 Duration TargetTable::WayTo(const Target& target)
@@ -210,7 +210,7 @@
 {
   if (target.load && now - target.load_received < FRESH_LOAD_AGE)
     return START_MARGIN;
-  return HasValidLoad(target, now) ? START_MARGIN_UNREPORTED : START_MARGIN_SILENT;
+  return HasValidLoad(target, now) ? START_MARGIN_OLD_REPORT : START_MARGIN_SILENT;
 }
 
 bool TargetTable::MeetsSwitchDeadlines(const Target& target, const TargetWish& query,
@@ -239,7 +239,7 @@
   return std::max(now + total_time - switch_at, Duration::zero());
 }
 
-double TargetTable::Draw()
+double TargetTable::RandomFraction()
 {
   return std::uniform_real_distribution<double>(0, 1)(m_random);
 }
@@ -265,7 +265,7 @@
   if (admitted_share >= 1)
     return true;
   const double weight = SizeWeight(*engine, query) * m_demand.FairnessWeight(query.service, now);
-  return Draw() <= admitted_share * weight;
+  return RandomFraction() <= admitted_share * weight;
 }
 
 void TargetTable::UpdateCrowding(const TargetWish& query, const std::vector<SpreadOption>& options,
@@ -293,7 +293,7 @@
                                   TimePoint now) const
 {
   return target.listed.service == query.service && !target.listed.needs_weights &&
-         target.IsListed() && AccessOf(target, now) == Access::Avoided &&
+         target.IsListed() && AvailabilityOf(target, now) == Availability::Avoided &&
          target.failures <= MAX_TOLERATED_FAILURES && !query.tried.contains(id);
 }
 
@@ -358,7 +358,8 @@
   const SpreadParameters spread = SpreadParametersFor(query, candidates, now);
   if (!IsAdmitted(query, candidates.options, spread, now))
     return std::nullopt;
-  TargetChoice& choice = candidates.choices[ChooseOption(candidates.options, spread, Draw())];
+  TargetChoice& choice =
+      candidates.choices[ChooseOption(candidates.options, spread, RandomFraction())];
   const Target& target = m_targets.at(choice.id);
   const auto engine = m_engines.find(query.service);
   if (engine != m_engines.end() && HasValidLoad(target, now))
--- a/Source/Core/Gateway/TargetListing.cpp
+++ b/Source/Core/Gateway/TargetListing.cpp
@@ -22,7 +22,7 @@
 static constexpr Duration MAX_UNLISTED_TIME = Milliseconds(5000);
 // The time for which a target that has left the target list may continue to answer; it gets no new
 // requests.
-static constexpr Duration GONE_LIFETIME = std::chrono::minutes(2);
+static constexpr Duration DEPARTED_LIFETIME = std::chrono::minutes(2);
 static constexpr std::uint64_t MAX_TIE_BREAK_NS = 1000;
 
 static void LogListed(const ListedTarget& listed, TimePoint now)
@@ -71,9 +71,10 @@
   for (const TargetId& id : before)
   {
     LogEvent(Weight::Important, now, "target.gone", "target", id);
-    m_gone[id] = now;
+    m_departed_at[id] = now;
   }
-  std::erase_if(m_gone, [now](const auto& entry) { return now - entry.second > GONE_LIFETIME; });
+  std::erase_if(m_departed_at,
+                [now](const auto& entry) { return now - entry.second > DEPARTED_LIFETIME; });
   if (is_first && !list.empty())
     LogEvent(Weight::Important, now, "targets.known", "count", list.size());
   std::erase_if(m_targets, [](const auto& entry)
@@ -131,7 +132,7 @@
 
 void TargetTable::AddReported(const TargetLoad& load, TimePoint now)
 {
-  if (load.id.empty() || m_targets.contains(load.id) || m_gone.contains(load.id))
+  if (load.id.empty() || m_targets.contains(load.id) || m_departed_at.contains(load.id))
     return;
   const TargetId before = FindPredecessor(load.address);
   if (before.empty())
--- a/Source/Core/Gateway/TargetTable.cpp
+++ b/Source/Core/Gateway/TargetTable.cpp
@@ -155,9 +155,9 @@
 bool TargetTable::IsUnreported(const Target& target, TimePoint now) const
 {
   const bool is_awaited = target.listed.needs_weights && !target.load;
-  const bool do_other_agents_report =
+  const bool has_other_reports =
       m_last_report != TimePoint::min() && now - m_last_report <= LOAD_LIFETIME;
-  return is_awaited && do_other_agents_report && now - target.known_since < MAX_UNREPORTED_TIME;
+  return is_awaited && has_other_reports && now - target.known_since < MAX_UNREPORTED_TIME;
 }
 
 bool TargetTable::IsSilent(const Target& target, TimePoint now)
@@ -165,23 +165,23 @@
   return target.load && now - target.load_received > SILENT_AFTER;
 }
 
-TargetTable::Access TargetTable::AccessOf(const Target& target, TimePoint now) const
+TargetTable::Availability TargetTable::AvailabilityOf(const Target& target, TimePoint now) const
 {
   if (target.listed.state != TargetState::Ready)
-    return Access::Leaving;
+    return Availability::Leaving;
   if (now < target.avoid_until)
-    return Access::Avoided;
+    return Availability::Avoided;
   if (target.load && target.load->is_switching && now - target.load_received <= LOAD_LIFETIME)
-    return Access::Switching;
+    return Availability::Switching;
   if (IsUnreported(target, now))
-    return Access::Unreported;
+    return Availability::Unreported;
   const bool has_weights = !target.listed.needs_weights || WeightsOf(target) > 0;
-  return has_weights ? Access::Open : Access::WithoutWeights;
+  return has_weights ? Availability::Open : Availability::WithoutWeights;
 }
 
 bool TargetTable::IsOpen(const Target& target, TimePoint now) const
 {
-  return target.IsListed() && AccessOf(target, now) == Access::Open;
+  return target.IsListed() && AvailabilityOf(target, now) == Availability::Open;
 }
 
 bool TargetTable::IsAcceptable(const TargetId& id) const
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -171,7 +171,7 @@
   // Compares the measured start time of an answer with the engine's published times, or updates the
   // mean request time of a plain service.
   void OnStartMeasured(const std::string& service, const TargetChoice& choice,
-                       Common::Duration took, Common::TimePoint now);
+                       Common::Duration measured, Common::TimePoint now);
   // Called when the answer, or its first event, has arrived.
   void OnStarted(const TargetId& id, std::uint64_t request, std::uint32_t prompt_tokens,
                  Common::TimePoint now);
@@ -313,7 +313,7 @@
   bool IsAdmitted(const TargetWish& query, const std::vector<SpreadOption>& options,
                   const SpreadParameters& spread, Common::TimePoint now);
   // A random number, uniformly distributed from 0 to 1.
-  double Draw();
+  double RandomFraction();
   // Records when no target of this hall can start the request soon.
   void UpdateCrowding(const TargetWish& query, const std::vector<SpreadOption>& options,
                       Common::TimePoint now);
@@ -334,7 +334,7 @@
   bool IsUnreported(const Target& target, Common::TimePoint now) const;
   // Whether the target's agent has reported before, but has stopped reporting.
   static bool IsSilent(const Target& target, Common::TimePoint now);
-  enum class Access
+  enum class Availability
   {
     Open,
     Leaving,
@@ -343,7 +343,7 @@
     WithoutWeights,
     Unreported,
   };
-  Access AccessOf(const Target& target, Common::TimePoint now) const;
+  Availability AvailabilityOf(const Target& target, Common::TimePoint now) const;
   bool IsOpen(const Target& target, Common::TimePoint now) const;
   // The time by which a request that starts at the target now would delay the target's planned
   // switch to another version of the weights.
@@ -356,7 +356,7 @@
   GatewayCounts m_gateways;
   std::map<TargetId, Target> m_targets;
   // Targets that have left the target list but may still answer, with the time at which they left.
-  std::map<TargetId, Common::TimePoint> m_gone;
+  std::map<TargetId, Common::TimePoint> m_departed_at;
   std::set<std::string> m_services;
   std::map<std::string, Engine> m_engines;
   // The mean request time by service, for services without an engine.
--- a/Source/Core/Gateway/TargetTimes.cpp
+++ b/Source/Core/Gateway/TargetTimes.cpp
@@ -50,13 +50,13 @@
 }
 
 void TargetTable::OnStartMeasured(const std::string& service, const TargetChoice& choice,
-                                  Duration took, TimePoint now)
+                                  Duration measured, TimePoint now)
 {
   const auto found = m_engines.find(service);
   if (found == m_engines.end())
   {
     const Duration before = PlainTimeOf(service);
-    m_plain_times[service] = before + (took - before) / PLAIN_TIME_DIVISOR;
+    m_plain_times[service] = before + (measured - before) / PLAIN_TIME_DIVISOR;
     return;
   }
   // With a queue in front of the request, the measured time shows the queue and not the engine.
@@ -64,7 +64,7 @@
     return;
   Engine& engine = found->second;
   const double before = engine.correction.Factor();
-  engine.correction.OnStart(choice.published_start, took);
+  engine.correction.OnStart(choice.published_start, measured);
   const double factor = engine.correction.Factor();
   if (factor == before)
     return;
--- a/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
+++ b/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
@@ -31,7 +31,7 @@
   REQUIRE(f.Choose()->id == "next");
   CHECK(f.Choose()->address == f.one.address);
 
-  SUBCASE("the earlier target gets no requests, though it is still on the target list")
+  SUBCASE("the earlier target gets nothing, though it is still on the target list")
   {
     f.table.SetList({f.one, f.two}, f.now);
     CHECK(f.Choose({"llm", 1000, 100, {"next", "2"}, {}}) == std::nullopt);
--- a/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
@@ -32,7 +32,7 @@
   CHECK(choose_before(Milliseconds(750))->id == "1");
   CHECK(choose_before(Milliseconds(-100))->id == "2");
 
-  SUBCASE("without a recent report no request is sent to a target in the last seconds before the "
+  SUBCASE("without a recent report nothing is sent to a target in the last seconds before the "
           "switch deadline")
   {
     f.now += Milliseconds(600);
@@ -174,14 +174,14 @@
   CHECK(chosen(START + Milliseconds(100)) == "2");
   CHECK(chosen(START + Milliseconds(600)) == "1");
 
-  SUBCASE("it is used when no other target can start the request soon")
+  SUBCASE("it is used when nothing else can start the request soon")
   {
     table.OnLoad(MakeLoad(same_hall, 24), START + Milliseconds(610));
     CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START + Milliseconds(610))->id == "2");
   }
 }
 
-TEST_CASE("Other halls are needed while no target in this hall can start a request soon")
+TEST_CASE("Other halls are needed while nothing in this hall can start a request soon")
 {
   TargetTable table("here");
   const ListedTarget same_hall = MakeTarget("1");
--- a/Source/UnitTests/Core/Gateway/TargetIncarnationsTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetIncarnationsTest.cpp
@@ -10,7 +10,7 @@
 
 using Fixture = TableTesting::TargetTableFixture;
 
-TEST_CASE("A target that restarts under its id has no state of its earlier incarnation")
+TEST_CASE("A target that restarts under its id knows nothing of its earlier incarnation")
 {
   Fixture f;
   f.one.incarnation = f.two.incarnation = 1000;
--- a/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
@@ -36,14 +36,14 @@
     f.table.SetList({f.one, f.two}, f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("a target that switches to other weights gets no requests")
+  SUBCASE("a target that switches to other weights gets nothing")
   {
     TargetLoad load = MakeLoad(f.two, 0);
     load.is_switching = true;
     f.table.OnLoad(load, f.now);
     CHECK(f.Choose()->id == "1");
   }
-  SUBCASE("a target without weights gets no requests")
+  SUBCASE("a target without weights gets nothing")
   {
     f.two.weights_version = 0;
     f.table.SetList({f.one, f.two}, f.now);
