--- a/Source/Core/Gateway/StartEstimate.cpp
+++ b/Source/Core/Gateway/StartEstimate.cpp
@@ -88,8 +88,8 @@
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const double sequences = std::min(work.requests + 1, slots);
   const double pass = PassMs(engine, sequences);
-  // On average half a pass until the engine looks for new requests, then the processing of the
-  // prompt, then one pass.
+  // A request waits half a pass on average until the engine looks for new requests. Then the engine
+  // processes its prompt and needs one pass for the first event.
   double ms = 1.5 * pass + PromptMs(engine, prompt_tokens) +
               work.unread_prompt_tokens / std::max(engine.prompt_tokens_per_ms, 1e-3);
   if (work.requests >= slots)
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -186,7 +186,7 @@
   void OnReplaced(const TargetId& id, Common::TimePoint now);
 
   std::size_t Size() const { return m_targets.size(); }
-  // How many targets have been reported by their agents since this process started.
+  // The number of known targets of which a load report has arrived since this process started.
   std::size_t Reported() const;
   // All targets that are listed and not replaced.
   std::vector<ListedTarget> Listed() const;
--- a/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
+++ b/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
@@ -69,20 +69,21 @@
 
 TEST_CASE("A gateway that refuses a larger share than the others gets a larger fairness weight")
 {
-  Fixture often(2);
-  Fixture never;
+  Fixture refuses_often(2);
+  Fixture refuses_never;
   const GatewayDemand all{700, 90, 0.25};
-  often.demand.OnDemandReport(SERVICE, all, often.now);
-  never.demand.OnDemandReport(SERVICE, all, never.now);
-  CHECK(often.demand.FairnessWeight(SERVICE, often.now) > 1.5);
-  CHECK(never.demand.FairnessWeight(SERVICE, never.now) < 0.7);
+  refuses_often.demand.OnDemandReport(SERVICE, all, refuses_often.now);
+  refuses_never.demand.OnDemandReport(SERVICE, all, refuses_never.now);
+  CHECK(refuses_often.demand.FairnessWeight(SERVICE, refuses_often.now) > 1.5);
+  CHECK(refuses_never.demand.FairnessWeight(SERVICE, refuses_never.now) < 0.7);
 
   SUBCASE("the weight is 10 at most, and 1 without reports on the others")
   {
-    Fixture always(1);
-    always.demand.OnDemandReport(SERVICE, {700, 90, 0}, always.now);
-    CHECK(always.demand.FairnessWeight(SERVICE, always.now) == 10);
-    CHECK(always.demand.FairnessWeight(SERVICE, always.now + Milliseconds(2500)) == 1);
-    CHECK(always.demand.FairnessWeight("desk", always.now) == 1);
+    Fixture refuses_always(1);
+    refuses_always.demand.OnDemandReport(SERVICE, {700, 90, 0}, refuses_always.now);
+    CHECK(refuses_always.demand.FairnessWeight(SERVICE, refuses_always.now) == 10);
+    CHECK(refuses_always.demand.FairnessWeight(SERVICE, refuses_always.now + Milliseconds(2500)) ==
+          1);
+    CHECK(refuses_always.demand.FairnessWeight("desk", refuses_always.now) == 1);
   }
 }
--- a/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
@@ -82,7 +82,7 @@
   f.table.OnLoad(MakeLoad(f.two, 5), f.now);
   for (std::uint64_t i = 0; i < 3; ++i)
     f.table.OnDispatched("1", i, 0, Milliseconds(100), f.now);
-  // Three requests from this gateway may be 21 from all seven: more than the target has slots.
+  // If each of the seven gateways sent three requests, the target has 21: more than its slots.
   CHECK(f.Choose()->id == "2");
 }
 
