--- a/Source/Core/Gateway/StartEstimate.cpp
+++ b/Source/Core/Gateway/StartEstimate.cpp
@@ -11,7 +11,7 @@
 static constexpr double PER_THOUSAND = 1000.0;
 static constexpr double PER_MILLION = 1e6;
 
-// All sequences advance by one event in a pass.
+// In one pass, all sequences advance by one event.
 static double PassMs(const EngineProfile& engine, double sequences)
 {
   const double context =
@@ -21,7 +21,7 @@
   return engine.tokens_per_event * (engine.step_ms + sequences * per_sequence);
 }
 
-static double ReadMs(const EngineProfile& engine, double tokens)
+static double PromptMs(const EngineProfile& engine, double tokens)
 {
   return tokens / std::max(engine.prompt_tokens_per_ms, 1e-3) +
          tokens * tokens / PER_MILLION * engine.prompt_pairs_ms;
@@ -33,12 +33,13 @@
       std::chrono::duration<double, std::milli>(ms));
 }
 
-// A sequence writes in one of the slots, and all others wait while its prompt is read.
+// A sequence generates its answer in one of the slots. All other sequences wait while its prompt is
+// processed.
 static double EngineMs(const EngineProfile& engine, double prompt_tokens, double answer_tokens)
 {
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const double events = answer_tokens / std::max(engine.tokens_per_event, 1U);
-  return events * PassMs(engine, slots) / slots + ReadMs(engine, prompt_tokens);
+  return events * PassMs(engine, slots) / slots + PromptMs(engine, prompt_tokens);
 }
 
 static double SlotIntervalMs(const EngineProfile& engine)
@@ -52,8 +53,8 @@
   return ToDuration(EngineMs(engine, prompt_tokens, answer_tokens));
 }
 
-Common::Duration ExpectedWriting(const EngineProfile& engine, const TargetWork& work,
-                                 std::uint32_t answer_tokens)
+Common::Duration ExpectedGeneration(const EngineProfile& engine, const TargetWork& work,
+                                    std::uint32_t answer_tokens)
 {
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const double sequences = std::min(work.requests + 1, slots);
@@ -72,12 +73,12 @@
   return ToDuration(PassMs(engine, std::max<std::uint32_t>(engine.slots, 1)));
 }
 
-Common::Duration StartDelayOfOne(const EngineProfile& engine, double requests, double pace)
+Common::Duration StartDelayPerRequest(const EngineProfile& engine, double requests, double pace)
 {
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const bool has_free_slot = requests + 1 < slots;
   const double ms =
-      has_free_slot ? ReadMs(engine, engine.usual_prompt_tokens) : SlotIntervalMs(engine);
+      has_free_slot ? PromptMs(engine, engine.usual_prompt_tokens) : SlotIntervalMs(engine);
   return ToDuration(pace * ms);
 }
 
@@ -87,8 +88,9 @@
   const double slots = std::max<std::uint32_t>(engine.slots, 1);
   const double sequences = std::min(work.requests + 1, slots);
   const double pass = PassMs(engine, sequences);
-  // Half a pass until the engine looks for new requests, then the reading, then a pass.
-  double ms = 1.5 * pass + ReadMs(engine, prompt_tokens) +
+  // A request waits half a pass on average until the engine looks for new requests. Then the engine
+  // processes its prompt and needs one pass for the first event.
+  double ms = 1.5 * pass + PromptMs(engine, prompt_tokens) +
               work.unread_prompt_tokens / std::max(engine.prompt_tokens_per_ms, 1e-3);
   if (work.requests >= slots)
     ms += (work.requests - slots + 1) * SlotIntervalMs(engine);
--- a/Source/Core/Gateway/TargetTimes.cpp
+++ b/Source/Core/Gateway/TargetTimes.cpp
@@ -5,7 +5,8 @@
 
 #include "Common/EventLog.h"
 
-// How long the targets of a service take: as published, and as their answers show.
+// The time that targets of a service take: from the published engine profile, and as measured from
+// their answers.
 namespace Holdpost::Gateway
 {
 using Common::Duration;
@@ -15,15 +16,17 @@
 using Common::Weight;
 using Settings::EngineProfile;
 
-// Plain services have no published times: until answers have come, they are taken to take so long.
+// Plain services have no published times. This is their assumed request time until answers have
+// arrived.
 static constexpr Duration PLAIN_REQUEST_TIME = Milliseconds(20);
-// Each answer of a plain service moves the known mean by this part.
-static constexpr int PLAIN_TIME_SHARE = 16;
+// The divisor of the moving average of a plain service's request time: each answer changes the
+// average by this fraction of its difference.
+static constexpr int PLAIN_TIME_DIVISOR = 16;
 
 const EngineProfile* TargetTable::EngineOf(const std::string& service) const
 {
   const auto found = m_engines.find(service);
-  return found == m_engines.end() ? nullptr : &found->second.present;
+  return found == m_engines.end() ? nullptr : &found->second.corrected;
 }
 
 void TargetTable::SetEngine(const std::string& service, const std::optional<EngineProfile>& engine)
@@ -36,7 +39,7 @@
   Engine& known = m_engines[service];
   if (known.published == *engine)
     return;
-  // What was learnt is about other times.
+  // The correction was measured against other published times, so it is reset.
   known = {*engine, {}, *engine};
 }
 
@@ -47,25 +50,25 @@
 }
 
 void TargetTable::OnStartMeasured(const std::string& service, const TargetChoice& choice,
-                                  Duration took, TimePoint now)
+                                  Duration measured, TimePoint now)
 {
   const auto found = m_engines.find(service);
   if (found == m_engines.end())
   {
     const Duration before = PlainTimeOf(service);
-    m_plain_times[service] = before + (took - before) / PLAIN_TIME_SHARE;
+    m_plain_times[service] = before + (measured - before) / PLAIN_TIME_DIVISOR;
     return;
   }
-  // Behind a queue it is the queue that is measured, not the engine.
+  // With a queue in front of the request, the measured time shows the queue and not the engine.
   if (!choice.has_free_slot || choice.published_start <= Duration(0))
     return;
   Engine& engine = found->second;
   const double before = engine.correction.Factor();
-  engine.correction.OnStart(choice.published_start, took);
+  engine.correction.OnStart(choice.published_start, measured);
   const double factor = engine.correction.Factor();
   if (factor == before)
     return;
-  engine.present = Corrected(engine.published, factor);
+  engine.corrected = Corrected(engine.published, factor);
   if (EngineCorrection::IsNotable(before, factor))
   {
     LogEvent(Weight::Important, now, "engine.corrected", "service", service, "factor", factor,
@@ -79,7 +82,7 @@
   return found == m_plain_times.end() ? PLAIN_REQUEST_TIME : found->second;
 }
 
-Duration TargetTable::PlainStart(const Target& target, TimePoint now) const
+Duration TargetTable::ExpectedPlainStart(const Target& target, TimePoint now) const
 {
   const double load = LoadOf(target, now);
   const double slots = std::max<std::uint32_t>(target.listed.slots, 1);
--- a/Source/UnitTests/Core/Gateway/TargetTableFixture.h
+++ b/Source/UnitTests/Core/Gateway/TargetTableFixture.h
@@ -7,7 +7,8 @@
 #include "Core/Gateway/TargetTable.h"
 #include "Support/Engines.h"
 
-// A table of two targets of a model service, for tests of what a gateway knows of targets.
+// A target table with two targets of a model service, and functions that make targets and load
+// reports.
 namespace Holdpost::Gateway::TableTesting
 {
 using Common::Milliseconds;
@@ -43,9 +44,9 @@
     table.SetEngine("llm", Testing::MakeEngine(16));
     table.SetList({one, two}, START);
   }
-  std::optional<TargetChoice> Choose(const TargetWish& wish = {"llm", 1000, 100, {}, {}})
+  std::optional<TargetChoice> Choose(const TargetWish& query = {"llm", 1000, 100, {}, {}})
   {
-    return table.Choose(wish, now);
+    return table.Choose(query, now);
   }
 
   ListedTarget one = MakeTarget("1");
