--- a/Source/Core/Gateway/DeadlineWatch.cpp
+++ b/Source/Core/Gateway/DeadlineWatch.cpp
@@ -9,34 +9,36 @@
 using Common::Milliseconds;
 
 // Deadlines that differ by less count as equal: a caller measures its time from when it connects.
-static constexpr Milliseconds SAME_WITHIN = Milliseconds(50);
+static constexpr Milliseconds DEADLINE_TOLERANCE = Milliseconds(50);
 // Each request multiplies the weight of all earlier ones by this factor, so that about the last 100
 // requests count.
-static constexpr double FADING = 0.99;
+static constexpr double WEIGHT_DECAY_FACTOR = 0.99;
 // Deadlines with less weight are dropped. A single request reaches this weight after many later
 // ones.
-static constexpr double WEIGHT_LEAST = 0.05;
+static constexpr double MIN_WEIGHT_REQUESTS = 0.05;
 // A deadline counts as the usual one of its route only with at least this weight, in requests.
-static constexpr double USUAL_LEAST = 4;
+static constexpr double MIN_USUAL_WEIGHT_REQUESTS = 4;
 
-Duration DeadlineWatch::OnRequest(const std::string& route, Milliseconds deadline)
+Duration DeadlineTracker::OnRequest(const std::string& route, Milliseconds deadline)
 {
-  std::vector<Seen>& seen = m_routes[route];
-  for (Seen& other : seen)
-    other.weight *= FADING;
-  std::erase_if(seen, [](const Seen& other) { return other.weight < WEIGHT_LEAST; });
-  const auto same = std::ranges::find_if(seen,
-                                         [&](const Seen& other)
+  std::vector<ObservedDeadline>& observed = m_routes[route];
+  for (ObservedDeadline& other : observed)
+    other.weight *= WEIGHT_DECAY_FACTOR;
+  std::erase_if(observed,
+                [](const ObservedDeadline& other) { return other.weight < MIN_WEIGHT_REQUESTS; });
+  const auto same = std::ranges::find_if(observed,
+                                         [&](const ObservedDeadline& other)
                                          {
                                            const Milliseconds apart = other.deadline - deadline;
-                                           return std::chrono::abs(apart) < SAME_WITHIN;
+                                           return std::chrono::abs(apart) < DEADLINE_TOLERANCE;
                                          });
-  if (same == seen.end())
-    seen.push_back({deadline, 1});
+  if (same == observed.end())
+    observed.push_back({deadline, 1});
   else
     same->weight += 1;
-  const Seen& usual = *std::ranges::max_element(seen, {}, &Seen::weight);
-  if (usual.weight < USUAL_LEAST || usual.deadline - deadline < SAME_WITHIN)
+  const ObservedDeadline& usual =
+      *std::ranges::max_element(observed, {}, &ObservedDeadline::weight);
+  if (usual.weight < MIN_USUAL_WEIGHT_REQUESTS || usual.deadline - deadline < DEADLINE_TOLERANCE)
     return Duration::zero();
   return usual.deadline - deadline;
 }
--- a/Source/Core/Gateway/DeadlineWatch.h
+++ b/Source/Core/Gateway/DeadlineWatch.h
@@ -11,7 +11,7 @@
 // a route wait for the same time, so a caller that was refused and retries has less time left.
 namespace Holdpost::Gateway
 {
-class DeadlineWatch
+class DeadlineTracker
 {
 public:
   // Records the deadline of a request, which is the time that its caller still waits. Returns the
@@ -19,13 +19,13 @@
   Common::Duration OnRequest(const std::string& route, Common::Milliseconds deadline);
 
 private:
-  struct Seen
+  struct ObservedDeadline
   {
     Common::Milliseconds deadline{0};
     // Number of requests with this deadline; older requests count less.
     double weight = 0;
   };
 
-  std::map<std::string, std::vector<Seen>> m_routes;
+  std::map<std::string, std::vector<ObservedDeadline>> m_routes;
 };
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/Gateway.cpp
+++ b/Source/Core/Gateway/Gateway.cpp
@@ -37,7 +37,7 @@
 
 Gateway::Gateway(GatewayOptions options, Common::Metrics& metrics)
     : m_options(std::move(options)), m_log(metrics), m_targets(m_options.hall, m_options.seed),
-      m_weights(m_options.switch_within)
+      m_switch_deadlines(m_options.switch_within)
 {
 }
 
@@ -75,20 +75,20 @@
 void Gateway::SetTargets(const std::vector<ListedTarget>& list, TimePoint now, Actions* actions)
 {
   m_targets.SetList(list, now);
-  PumpAll(now, actions);
+  DispatchAllWaiting(now, actions);
 }
 
 void Gateway::OnTargetLoad(const TargetLoad& load, TimePoint now, Actions* actions)
 {
   m_targets.OnLoad(load, now);
-  LeaveReported(load, now, actions);
-  PumpAll(now, actions);
+  MoveFromReportedTarget(load, now, actions);
+  DispatchAllWaiting(now, actions);
 }
 
 void Gateway::OnWeightsNamed(const std::string& model, const Control::KnownVersion& known,
                              TimePoint now)
 {
-  if (const auto due = m_weights.OnNamed(model, known, now))
+  if (const auto due = m_switch_deadlines.OnVersionNamed(model, known, now))
     m_timers.push({std::max(*due, now), NO_REQUEST});
 }
 
@@ -131,7 +131,7 @@
 void Gateway::Handle(RequestArrived event, TimePoint now, Actions* actions)
 {
   m_log.OnArrived();
-  if (!m_takes_requests)
+  if (!m_accepts_requests)
   {
     return RefuseArrival(
         event, {ErrorKind::Leaving, "the gateway is stopping", LEAVING_RETRY_AFTER}, now, actions);
@@ -156,9 +156,10 @@
       organisation && organisation->priority ? *organisation->priority : route->priority;
   tracked.request = std::move(event.request);
   tracked.arrived = now;
-  tracked.first_tried = tracked.request.deadline
-                            ? now - m_deadlines.OnRequest(route->name, *tracked.request.deadline)
-                            : now;
+  tracked.first_tried =
+      tracked.request.deadline
+          ? now - m_deadline_tracker.OnRequest(route->name, *tracked.request.deadline)
+          : now;
   const Milliseconds time =
       std::min(route->timeout, tracked.request.deadline.value_or(route->timeout));
   tracked.deadline = now + time;
@@ -179,9 +180,9 @@
   if (!waiting || waiting->state != State::Waiting)
     return;
   Tracked& tracked = *waiting;
-  const TargetSurvey survey = m_targets.SurveyOf(WishOf(tracked), now);
-  const Duration wait = WaitMost(survey, WaitingFor(tracked.service),
-                                 m_targets.PassTimeOf(tracked.service), StartGoal(tracked));
+  const TargetSurvey survey = m_targets.SurveyOf(QueryFor(tracked), now);
+  const Duration wait = MaxWait(survey, WaitingCountOf(tracked.service),
+                                m_targets.PassTimeOf(tracked.service), StartGoal(tracked));
   tracked.refuse_at = std::min(tracked.deadline, now + wait);
   m_timers.push({tracked.refuse_at, tracked.number});
   OnTimer(tracked, now, actions);
@@ -207,13 +208,13 @@
     queue.AddFront(tracked.organisation, 1, waiting);
   else
     queue.Add(tracked.organisation, 1, waiting);
-  Pump(tracked.service, now, actions);
+  DispatchWaiting(tracked.service, now, actions);
 }
 
-void Gateway::PumpAll(TimePoint now, Actions* actions)
+void Gateway::DispatchAllWaiting(TimePoint now, Actions* actions)
 {
   for (const auto& [service, queue] : m_queues)
-    Pump(service, now, actions);
+    DispatchWaiting(service, now, actions);
 }
 
 void Gateway::Forget(RequestNumber number)
@@ -226,15 +227,15 @@
   Tracked* tracked = Find(event.number);
   if (!tracked)
     return;
-  m_log.OnLeft(*tracked, now);
+  m_log.OnCallerLeft(*tracked, now);
   const std::string service = tracked->service;
   if (tracked->state == State::Waiting)
     QueueOf(service).waiting[tracked->priority].Remove(tracked->organisation, tracked->number);
   else
     actions->push_back(CancelAttempt{tracked->number});
-  LeaveTarget(*tracked, actions);
+  ReleaseTarget(*tracked, actions);
   Forget(event.number);
-  Pump(service, now, actions);
+  DispatchWaiting(service, now, actions);
 }
 
 void Gateway::Handle(const AnswerBegan& event, TimePoint now, Actions* actions)
@@ -246,15 +247,15 @@
   if (event.is_not_run || event.is_other_target)
   {
     if (event.is_other_target)
-      m_targets.OnReplaced(LivingTarget(*tracked), now);
+      m_targets.OnReplaced(TargetInSameIncarnation(*tracked), now);
     else
-      m_targets.OnFull(LivingTarget(*tracked), now);
+      m_targets.OnFull(TargetInSameIncarnation(*tracked), now);
     actions->push_back(CancelAttempt{tracked->number});
     return OnNotRun(*tracked, event.is_other_target ? "other_target" : "target_full", now, actions);
   }
   ++tracked->runs;
   // Only the rest of the same event stream can continue an answer that was passed on in part.
-  const bool continues_nothing = tracked->was_passed && !event.is_event_stream;
+  const bool continues_nothing = tracked->was_head_passed && !event.is_event_stream;
   const bool is_failure = event.status >= 500 || continues_nothing;
   if (is_failure && MayRunAgain(*tracked) && QueueOf(tracked->service).retries.Take(now))
   {
@@ -267,23 +268,24 @@
     return GiveUp(*tracked, {ErrorKind::Unreachable, "the target did not continue the stream"}, now,
                   actions);
   }
-  m_targets.OnStarted(LivingTarget(*tracked), tracked->number, tracked->PromptTokens(), now);
-  NoteWeights(*tracked, event.weights_version, now);
+  m_targets.OnStarted(TargetInSameIncarnation(*tracked), tracked->number, tracked->PromptTokens(),
+                      now);
+  LogIfOldWeights(*tracked, event.weights_version, now);
   if (!is_failure)
   {
     const LastAttempt& attempt = *tracked->last_attempt;
     m_targets.OnStartMeasured(tracked->service, attempt.choice, now - attempt.sent, now);
     m_log.OnStarted(*tracked, m_targets.CorrectionOf(tracked->service), now);
   }
-  TellWork(tracked->target, actions);
+  ReportWork(tracked->target, actions);
   tracked->has_started = true;
-  if (!tracked->was_passed)
+  if (!tracked->was_head_passed)
   {
-    tracked->begun = now;
-    m_log.OnBegun(*tracked, now);
+    tracked->answer_passed_at = now;
+    m_log.OnAnswerHeadPassed(*tracked, now);
   }
   tracked->state = State::Passing;
-  tracked->was_passed = true;
+  tracked->was_head_passed = true;
   actions->push_back(PassAnswer{tracked->number});
 }
 
@@ -292,12 +294,12 @@
   Tracked* tracked = Find(event.number);
   if (!tracked)
     return;
-  m_targets.OnSucceeded(LivingTarget(*tracked));
+  m_targets.OnSucceeded(TargetInSameIncarnation(*tracked));
   m_log.OnDone(*tracked, now);
-  LeaveTarget(*tracked, actions);
+  ReleaseTarget(*tracked, actions);
   const std::string service = tracked->service;
   Forget(event.number);
-  Pump(service, now, actions);
+  DispatchWaiting(service, now, actions);
 }
 
 void Gateway::Handle(const AttemptFailed& event, TimePoint now, Actions* actions)
@@ -306,7 +308,7 @@
   if (!tracked || tracked->state == State::Waiting)
     return;
   tracked->last_attempt->end = event.end;
-  m_targets.OnFailed(LivingTarget(*tracked), now);
+  m_targets.OnFailed(TargetInSameIncarnation(*tracked), now);
   if (event.last_event)
     tracked->last_event = event.last_event;
   if (event.failure == AttemptFailure::NotSent)
@@ -314,8 +316,9 @@
   // A run whose answer has begun was counted at the start of the answer.
   if (tracked->state == State::Sent)
     ++tracked->runs;
-  TryAgain(*tracked, "lost", {ErrorKind::Unreachable, "the target was lost while it may have run"},
-           now, actions);
+  RetryOrGiveUp(*tracked, "lost",
+                {ErrorKind::Unreachable, "the target was lost while it may have run"}, now,
+                actions);
 }
 
 void Gateway::OnTimer(Tracked& tracked, TimePoint now, Actions* actions)
@@ -330,7 +333,7 @@
       return GiveUp(tracked, {ErrorKind::Unreachable, "no target could run it again"}, now,
                     actions);
     }
-    const ErrorKind reason = RefusalReason(m_targets.SurveyOf(WishOf(tracked), now));
+    const ErrorKind reason = RefusalReason(m_targets.SurveyOf(QueryFor(tracked), now));
     return GiveUp(tracked, {reason, "no target can begin it in time"}, now, actions);
   }
   if (now < tracked.deadline)
@@ -345,7 +348,7 @@
 
 void Gateway::OnTick(TimePoint now, Actions* actions)
 {
-  LeaveOldWeights(now, actions);
+  CancelOnOldWeights(now, actions);
   while (!m_timers.empty() && m_timers.top().at <= now)
   {
     const RequestNumber number = m_timers.top().number;
@@ -353,7 +356,7 @@
     if (Tracked* tracked = Find(number))
       OnTimer(*tracked, now, actions);
   }
-  PumpAll(now, actions);
+  DispatchAllWaiting(now, actions);
 }
 
 std::optional<TimePoint> Gateway::NextWakeup() const
--- a/Source/Core/Gateway/Gateway.h
+++ b/Source/Core/Gateway/Gateway.h
@@ -58,9 +58,9 @@
   // New retry limits apply to all retries from now on, and a new switch period to versions that are
   // named from now on.
   void SetRetryLimits(const RetryLimits& limits);
-  void SetSwitchWithin(Common::Milliseconds within) { m_weights.SetSwitchWithin(within); }
+  void SetSwitchWithin(Common::Milliseconds within) { m_switch_deadlines.SetSwitchWithin(within); }
   // Refuses all new requests from now on, as the process is about to end.
-  void StopTaking() { m_takes_requests = false; }
+  void StopTaking() { m_accepts_requests = false; }
 
   void Handle(RequestArrived event, Common::TimePoint now, Actions* actions);
   void Handle(const CallerLeft& event, Common::TimePoint now, Actions* actions);
@@ -97,38 +97,39 @@
   // Enqueues a request that no target has run. The request waits only for the time in which
   // capacity may be expected to become free.
   void EnqueueNotRun(Tracked& request, bool is_retry, Common::TimePoint now, Actions* actions);
-  void Pump(const std::string& service, Common::TimePoint now, Actions* actions);
-  void PumpAll(Common::TimePoint now, Actions* actions);
-  TargetWish WishOf(const Tracked& tracked) const;
+  void DispatchWaiting(const std::string& service, Common::TimePoint now, Actions* actions);
+  void DispatchAllWaiting(Common::TimePoint now, Actions* actions);
+  TargetWish QueryFor(const Tracked& tracked) const;
   // The query of a request that is sent only if it can begin in time.
-  TargetWish WishInTime(const Tracked& tracked, Common::TimePoint now) const;
-  std::size_t WaitingFor(const std::string& service) const;
+  TargetWish InTimeQueryFor(const Tracked& tracked, Common::TimePoint now) const;
+  std::size_t WaitingCountOf(const std::string& service) const;
   // The time after the caller's first attempt by which a request has to be expected to begin, so
   // that the goal of its route is met.
   static Common::Duration StartGoal(const Tracked& tracked);
   // The maximum time from now until the start of a request that no target has run; a request that
   // would begin later is not sent.
-  static Common::Duration StartMost(const Tracked& tracked, Common::TimePoint now);
+  static Common::Duration MaxStartDelay(const Tracked& tracked, Common::TimePoint now);
   // Whether the goal of the request is over already, because its caller retried too late.
-  static bool IsLate(const Tracked& tracked, Common::TimePoint now);
+  static bool IsPastGoal(const Tracked& tracked, Common::TimePoint now);
   bool TryDispatch(Tracked& tracked, Common::TimePoint now, Actions* actions);
   bool IsWorthSending(const Tracked& tracked, const TargetChoice& choice,
                       Common::TimePoint now) const;
   // Reports to the target's agent which work this gateway has at the target now.
-  void TellWork(const TargetId& id, Actions* actions) const;
+  void ReportWork(const TargetId& id, Actions* actions) const;
   // The switch deadlines of the service's model: which version requests have to start with, and
   // from when on.
-  const std::vector<WeightsBound>& WeightsFor(const std::string& service) const;
+  const std::vector<WeightsBound>& SwitchDeadlinesFor(const std::string& service) const;
   // The model whose weights the service's targets load; empty for a plain service (without a
   // model).
   const std::string& ModelOf(const std::string& service) const;
-  void LeaveTarget(Tracked& tracked, Actions* actions);
+  void ReleaseTarget(Tracked& tracked, Actions* actions);
   // The target of a sent request; empty if the target has restarted since, as the new incarnation
   // knows nothing of the request.
-  TargetId LivingTarget(const Tracked& tracked) const;
+  TargetId TargetInSameIncarnation(const Tracked& tracked) const;
   void SetEngine(const Settings::ServiceSettings& service, Common::TimePoint now);
-  void TryAgain(Tracked& tracked, std::string_view reason, const Common::Error& otherwise,
-                Common::TimePoint now, Actions* actions);
+  void RetryOrGiveUp(Tracked& tracked, std::string_view reason,
+                     const Common::Error& error_if_not_retried, Common::TimePoint now,
+                     Actions* actions);
   // Enqueues the request for another target. The caller has already taken the retry from the
   // allowance.
   void Retry(Tracked& tracked, std::string_view reason, Common::TimePoint now, Actions* actions);
@@ -138,28 +139,29 @@
   bool Move(Tracked& tracked, std::string_view reason, Common::TimePoint now, Actions* actions);
   // Moves or gives up requests at the target of the report if the target switches weights, or if
   // its weights are too old for these requests.
-  void LeaveReported(const TargetLoad& load, Common::TimePoint now, Actions* actions);
+  void MoveFromReportedTarget(const TargetLoad& load, Common::TimePoint now, Actions* actions);
   // Moves requests that have not begun away from a target that is switching to other weights, as
   // they would wait until the switch is done.
-  void LeaveSwitching(const TargetId& target, Common::TimePoint now, Actions* actions);
+  void MoveFromSwitchingTarget(const TargetId& target, Common::TimePoint now, Actions* actions);
   // Logs an answer that began with weights that a newer named version replaces.
-  void NoteWeights(const Tracked& tracked, std::uint64_t version, Common::TimePoint now);
+  void LogIfOldWeights(const Tracked& tracked, std::uint64_t version, Common::TimePoint now);
   // Whether the target may begin the request with weights after the switch deadline of a newer
   // version.
-  bool MayBeginOnOldWeights(const Tracked& tracked, Common::TimePoint now) const;
+  bool MayStartWithOldWeights(const Tracked& tracked, Common::TimePoint now) const;
   // Moves requests that have not begun away from targets whose weights reach the switch deadline of
   // a newer version; a request that cannot be moved is given up.
-  void LeaveOldWeights(Common::TimePoint now, Actions* actions);
+  void CancelOnOldWeights(Common::TimePoint now, Actions* actions);
   // Moves or gives up requests at one target after the switch deadline, if the target does not
   // switch to new weights although it announced that.
-  void LeaveIfNotTaking(const TargetId& target, Common::TimePoint now, Actions* actions);
+  void CancelIfNotSwitching(const TargetId& target, Common::TimePoint now, Actions* actions);
   // Sent requests that have not begun and meet the condition. An action on one of them may end or
   // resend others, so the caller looks each one up again.
-  std::vector<RequestNumber> SentThat(const std::function<bool(const Tracked&)>& condition) const;
+  std::vector<RequestNumber>
+  SentRequestsWhere(const std::function<bool(const Tracked&)>& condition) const;
   // Cancels requests that have not begun at their targets, and moves them to other targets or gives
   // them up.
-  void TakeBack(const std::vector<RequestNumber>& requests, Common::TimePoint now,
-                Actions* actions);
+  void CancelAtTargets(const std::vector<RequestNumber>& requests, Common::TimePoint now,
+                       Actions* actions);
   void MoveIfOverdue(Tracked& tracked, Common::TimePoint now, Actions* actions);
   void OnNotRun(Tracked& tracked, std::string_view reason, Common::TimePoint now, Actions* actions);
   void GiveUp(Tracked& tracked, Common::Error error, Common::TimePoint now, Actions* actions);
@@ -167,7 +169,7 @@
   void Forget(RequestNumber number);
   // The state of the request's service, for the log.
   ServiceView ViewOf(const Tracked& tracked, Common::TimePoint now) const;
-  Common::Milliseconds ComeBackAfter(const Tracked& tracked) const;
+  Common::Milliseconds RetryAfterFor(const Tracked& tracked) const;
   Tracked* Find(RequestNumber number);
   void RefuseArrival(const RequestArrived& event, Common::Error error, Common::TimePoint now,
                      Actions* actions);
@@ -176,13 +178,13 @@
   RequestLog m_log;
   std::shared_ptr<const Settings::Document> m_document;
   RouteTable m_routes;
-  DeadlineWatch m_deadlines;
+  DeadlineTracker m_deadline_tracker;
   TargetTable m_targets;
-  WeightsBounds m_weights;
+  SwitchDeadlines m_switch_deadlines;
   std::map<std::string, ServiceQueue> m_queues;
   std::unordered_map<RequestNumber, Tracked> m_requests;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> m_timers;
   GatewayCounts m_gateways;
-  bool m_takes_requests = true;
+  bool m_accepts_requests = true;
 };
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/GatewayDispatch.cpp
+++ b/Source/Core/Gateway/GatewayDispatch.cpp
@@ -11,16 +11,16 @@
 using Common::TimePoint;
 
 // The share of a route's goal that may pass until the expected start of a request.
-static constexpr double GOAL_SHARE = 0.7;
+static constexpr double START_GOAL_SHARE = 0.7;
 // A request whose goal is over is sent only if it can begin within this share of the time that
 // other requests have. In lasting overload it would otherwise displace a request that can still
 // meet its goal, and both would be late.
-static constexpr double LATE_SHARE = 0.85;
+static constexpr double PAST_GOAL_START_SHARE = 0.85;
 // A request may be moved if its answer has not begun after twice the expected time plus this
 // margin.
 static constexpr Duration MOVE_MARGIN = Milliseconds(300);
 
-void Gateway::Pump(const std::string& service, TimePoint now, Actions* actions)
+void Gateway::DispatchWaiting(const std::string& service, TimePoint now, Actions* actions)
 {
   for (auto& [priority, queue] : m_queues[service].waiting)
   {
@@ -46,57 +46,57 @@
   return NONE;
 }
 
-const std::vector<WeightsBound>& Gateway::WeightsFor(const std::string& service) const
+const std::vector<WeightsBound>& Gateway::SwitchDeadlinesFor(const std::string& service) const
 {
-  return m_weights.Of(ModelOf(service));
+  return m_switch_deadlines.DeadlinesOf(ModelOf(service));
 }
 
 Duration Gateway::StartGoal(const Tracked& tracked)
 {
-  return std::chrono::duration_cast<Duration>(GOAL_SHARE * tracked.route.goal);
+  return std::chrono::duration_cast<Duration>(START_GOAL_SHARE * tracked.route.goal);
 }
 
 bool Gateway::IsWorthSending(const Tracked& tracked, const TargetChoice& choice,
                              TimePoint now) const
 {
-  if (tracked.was_passed)
+  if (tracked.was_head_passed)
     return true;
   // A request that may have run cannot be refused as "not run", and a late answer is better than an
   // error.
   if (tracked.runs > 0)
     return choice.expected_start <= (tracked.deadline - now) / 2;
   // A request for a free slot of a plain service (without a model) delays no other request.
-  const bool takes_from_none = !tracked.request.generation || !IsLate(tracked, now);
-  if (choice.has_free_slot && takes_from_none)
+  const bool delays_no_other = !tracked.request.generation || !IsPastGoal(tracked, now);
+  if (choice.has_free_slot && delays_no_other)
     return true;
-  return choice.expected_start <= StartMost(tracked, now);
+  return choice.expected_start <= MaxStartDelay(tracked, now);
 }
 
-bool Gateway::IsLate(const Tracked& tracked, TimePoint now)
+bool Gateway::IsPastGoal(const Tracked& tracked, TimePoint now)
 {
   return now - tracked.first_tried >= tracked.route.goal;
 }
 
-Duration Gateway::StartMost(const Tracked& tracked, TimePoint now)
+Duration Gateway::MaxStartDelay(const Tracked& tracked, TimePoint now)
 {
-  if (IsLate(tracked, now))
-    return std::chrono::duration_cast<Duration>(LATE_SHARE * StartGoal(tracked));
+  if (IsPastGoal(tracked, now))
+    return std::chrono::duration_cast<Duration>(PAST_GOAL_START_SHARE * StartGoal(tracked));
   return std::max(StartGoal(tracked) - (now - tracked.first_tried), Duration(1));
 }
 
-TargetWish Gateway::WishOf(const Tracked& tracked) const
+TargetWish Gateway::QueryFor(const Tracked& tracked) const
 {
   const std::optional<GenerationHint>& generation = tracked.request.generation;
-  TargetWish wish;
-  wish.service = tracked.service;
-  wish.prompt_tokens = tracked.PromptTokens();
-  wish.answer_tokens = generation ? generation->answer_tokens_guess : 0;
-  wish.tried = tracked.tried;
-  wish.weights = WeightsFor(tracked.service);
-  return wish;
+  TargetWish query;
+  query.service = tracked.service;
+  query.prompt_tokens = tracked.PromptTokens();
+  query.answer_tokens = generation ? generation->answer_tokens_guess : 0;
+  query.tried = tracked.tried;
+  query.weights = SwitchDeadlinesFor(tracked.service);
+  return query;
 }
 
-std::size_t Gateway::WaitingFor(const std::string& service) const
+std::size_t Gateway::WaitingCountOf(const std::string& service) const
 {
   const auto queue = m_queues.find(service);
   if (queue == m_queues.end())
@@ -107,17 +107,17 @@
   return count;
 }
 
-TargetWish Gateway::WishInTime(const Tracked& tracked, TimePoint now) const
+TargetWish Gateway::InTimeQueryFor(const Tracked& tracked, TimePoint now) const
 {
-  TargetWish wish = WishOf(tracked);
-  wish.waiting = WaitingFor(tracked.service);
-  const bool may_be_refused = tracked.runs == 0 && !tracked.was_passed;
+  TargetWish query = QueryFor(tracked);
+  query.waiting = WaitingCountOf(tracked.service);
+  const bool may_be_refused = tracked.runs == 0 && !tracked.was_head_passed;
   if (may_be_refused)
-    wish.start_most = StartMost(tracked, now);
-  return wish;
+    query.start_most = MaxStartDelay(tracked, now);
+  return query;
 }
 
-void Gateway::TellWork(const TargetId& id, Actions* actions) const
+void Gateway::ReportWork(const TargetId& id, Actions* actions) const
 {
   if (const auto agent = m_targets.AgentOf(id))
     actions->push_back(TellAgent{*agent, m_targets.OwnWorkAt(id)});
@@ -125,8 +125,8 @@
 
 bool Gateway::TryDispatch(Tracked& tracked, TimePoint now, Actions* actions)
 {
-  const TargetWish wish = WishInTime(tracked, now);
-  const auto choice = m_targets.Choose(wish, now);
+  const TargetWish query = InTimeQueryFor(tracked, now);
+  const auto choice = m_targets.Choose(query, now);
   if (!choice || !IsWorthSending(tracked, *choice, now))
     return false;
   tracked.state = State::Sent;
@@ -135,7 +135,7 @@
   tracked.tried.insert(choice->id);
   ++tracked.sends;
   tracked.has_started = false;
-  m_targets.OnDispatched(choice->id, tracked.number, wish.prompt_tokens, choice->expected_start,
+  m_targets.OnDispatched(choice->id, tracked.number, query.prompt_tokens, choice->expected_start,
                          now);
   tracked.move_at = now + 2 * choice->expected_start + MOVE_MARGIN;
   m_timers.push({tracked.move_at, tracked.number});
@@ -152,21 +152,21 @@
   dispatch.is_stream = tracked.route.is_stream;
   dispatch.may_repeat = tracked.route.repetition == Settings::Repetition::Idempotent;
   actions->push_back(std::move(dispatch));
-  TellWork(choice->id, actions);
+  ReportWork(choice->id, actions);
   return true;
 }
 
-void Gateway::LeaveTarget(Tracked& tracked, Actions* actions)
+void Gateway::ReleaseTarget(Tracked& tracked, Actions* actions)
 {
   if (tracked.target.empty())
     return;
   const std::uint32_t unread_tokens = tracked.has_started ? 0 : tracked.PromptTokens();
-  m_targets.OnEnded(LivingTarget(tracked), tracked.number, unread_tokens);
-  TellWork(tracked.target, actions);
+  m_targets.OnEnded(TargetInSameIncarnation(tracked), tracked.number, unread_tokens);
+  ReportWork(tracked.target, actions);
   tracked.target.clear();
 }
 
-TargetId Gateway::LivingTarget(const Tracked& tracked) const
+TargetId Gateway::TargetInSameIncarnation(const Tracked& tracked) const
 {
   if (!tracked.last_attempt ||
       !m_targets.IsSameIncarnation(tracked.target, tracked.last_attempt->choice.incarnation))
--- a/Source/Core/Gateway/GatewayRefusals.cpp
+++ b/Source/Core/Gateway/GatewayRefusals.cpp
@@ -14,11 +14,11 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-static constexpr Milliseconds COME_BACK_LEAST = Milliseconds(150);
-static constexpr Milliseconds COME_BACK_MOST = Milliseconds(2000);
+static constexpr Milliseconds MIN_RETRY_AFTER = Milliseconds(150);
+static constexpr Milliseconds MAX_RETRY_AFTER = Milliseconds(2000);
 // The minimum time until a retry, as a share of the time in which a full target ends all requests
 // that it runs.
-static constexpr double COME_BACK_SHARE = 0.65;
+static constexpr double RETRY_AFTER_TURNOVER_SHARE = 0.65;
 
 void Gateway::RefuseArrival(const RequestArrived& event, Error error, TimePoint now,
                             Actions* actions)
@@ -29,32 +29,32 @@
 
 // After this time a full target has ended about all requests that it runs now. The times are spread
 // out by the request id; otherwise callers that were refused together would retry together.
-Milliseconds Gateway::ComeBackAfter(const Tracked& tracked) const
+Milliseconds Gateway::RetryAfterFor(const Tracked& tracked) const
 {
   const Duration turnover = m_targets.TurnoverOf(tracked.service);
   const double spread = static_cast<double>(Common::StableHash(tracked.request.id) % 1000) / 1000;
-  const auto wait = std::chrono::duration_cast<Milliseconds>(COME_BACK_SHARE * turnover);
-  const auto more = std::chrono::duration_cast<Milliseconds>(spread * wait);
-  return std::clamp(wait + more, COME_BACK_LEAST, COME_BACK_MOST);
+  const auto wait = std::chrono::duration_cast<Milliseconds>(RETRY_AFTER_TURNOVER_SHARE * turnover);
+  const auto spread_wait = std::chrono::duration_cast<Milliseconds>(spread * wait);
+  return std::clamp(wait + spread_wait, MIN_RETRY_AFTER, MAX_RETRY_AFTER);
 }
 
 // Describes the service as a new request of the same kind would find it now.
 ServiceView Gateway::ViewOf(const Tracked& tracked, TimePoint now) const
 {
-  TargetWish wish = WishOf(tracked);
-  wish.start_most = StartGoal(tracked);
-  wish.waiting = WaitingFor(tracked.service);
-  return {m_targets.Utilization(tracked.service, now), m_targets.RoomFor(wish, now),
-          m_targets.SurveyOf(wish, now), Version()};
+  TargetWish query = QueryFor(tracked);
+  query.start_most = StartGoal(tracked);
+  query.waiting = WaitingCountOf(tracked.service);
+  return {m_targets.Utilization(tracked.service, now), m_targets.RoomFor(query, now),
+          m_targets.SurveyOf(query, now), Version()};
 }
 
 void Gateway::GiveUp(Tracked& tracked, Error error, TimePoint now, Actions* actions)
 {
-  LeaveTarget(tracked, actions);
+  ReleaseTarget(tracked, actions);
   const std::string service = tracked.service;
-  if (tracked.was_passed)
+  if (tracked.was_head_passed)
   {
-    m_log.OnCut(tracked, Common::AnswerFor(error.kind), now);
+    m_log.OnAnswerCut(tracked, Common::AnswerFor(error.kind), now);
     actions->push_back(AbortAnswer{tracked.number});
   }
   else
@@ -64,7 +64,7 @@
     if (row.outcome == Common::Outcome::NotRun && tracked.runs > 0)
       error = {ErrorKind::Unreachable, error.message};
     if (Common::AnswerFor(error.kind).outcome == Common::Outcome::NotRun)
-      error.retry_after = ComeBackAfter(tracked);
+      error.retry_after = RetryAfterFor(tracked);
     const ServiceView view = ViewOf(tracked, now);
     m_targets.OnRefused(service, now);
     m_log.OnRefused(tracked, Common::AnswerFor(error.kind), view, now);
--- a/Source/Core/Gateway/GatewayRetries.cpp
+++ b/Source/Core/Gateway/GatewayRetries.cpp
@@ -14,12 +14,12 @@
 using Common::TimePoint;
 
 // The maximum number of times that a request is sent to a target, including targets that reject it.
-static constexpr std::uint32_t SENDS_MOST = 4;
+static constexpr std::uint32_t MAX_SENDS = 4;
 // The maximum wait for another target if the first one was lost before the answer began.
-static constexpr Duration RETRY_WITHIN = Milliseconds(300);
+static constexpr Duration MAX_RETRY_WAIT = Milliseconds(300);
 // The maximum wait for another target if a stream broke. A caller waits about as long for the next
 // event.
-static constexpr Duration RESUME_WITHIN = Milliseconds(1200);
+static constexpr Duration MAX_RESUME_WAIT = Milliseconds(1200);
 
 bool Gateway::MayRunAgain(const Tracked& tracked) const
 {
@@ -27,31 +27,31 @@
   return is_repeatable && tracked.runs < tracked.route.attempts_most;
 }
 
-void Gateway::TryAgain(Tracked& tracked, std::string_view reason, const Error& otherwise,
-                       TimePoint now, Actions* actions)
+void Gateway::RetryOrGiveUp(Tracked& tracked, std::string_view reason,
+                            const Error& error_if_not_retried, TimePoint now, Actions* actions)
 {
-  const bool may_resume = !tracked.was_passed || tracked.route.is_resumable;
+  const bool may_resume = !tracked.was_head_passed || tracked.route.is_resumable;
   if (!may_resume || !MayRunAgain(tracked) || !QueueOf(tracked.service).retries.Take(now))
-    return GiveUp(tracked, otherwise, now, actions);
+    return GiveUp(tracked, error_if_not_retried, now, actions);
   Retry(tracked, reason, now, actions);
 }
 
 void Gateway::Retry(Tracked& tracked, std::string_view reason, TimePoint now, Actions* actions)
 {
   m_log.OnRetried(tracked, reason, now);
-  LeaveTarget(tracked, actions);
-  tracked.refuse_at =
-      std::min(tracked.deadline, now + (tracked.was_passed ? RESUME_WITHIN : RETRY_WITHIN));
+  ReleaseTarget(tracked, actions);
+  tracked.refuse_at = std::min(tracked.deadline,
+                               now + (tracked.was_head_passed ? MAX_RESUME_WAIT : MAX_RETRY_WAIT));
   Enqueue(tracked, true, now, actions);
 }
 
 void Gateway::OnNotRun(Tracked& tracked, std::string_view reason, TimePoint now, Actions* actions)
 {
-  LeaveTarget(tracked, actions);
-  if (tracked.sends >= SENDS_MOST || !QueueOf(tracked.service).retries.Take(now))
+  ReleaseTarget(tracked, actions);
+  if (tracked.sends >= MAX_SENDS || !QueueOf(tracked.service).retries.Take(now))
     return GiveUp(tracked, {ErrorKind::TargetRefused, "no target had room"}, now, actions);
   m_log.OnRetried(tracked, reason, now);
-  const bool may_have_run = tracked.runs > 0 || tracked.was_passed;
+  const bool may_have_run = tracked.runs > 0 || tracked.was_head_passed;
   // The time spent at the target that rejected the request does not shorten the wait for another
   // target.
   if (!may_have_run)
@@ -61,34 +61,37 @@
   Enqueue(tracked, true, now, actions);
 }
 
-bool Gateway::MayBeginOnOldWeights(const Tracked& tracked, TimePoint now) const
+bool Gateway::MayStartWithOldWeights(const Tracked& tracked, TimePoint now) const
 {
   const std::uint64_t weights = m_targets.WeightsAt(tracked.target);
   // The cancellation has to reach the target before the switch deadline.
-  const Duration way = std::min(m_targets.WayTo(tracked.target), TARGET_WAY_MOST);
+  const Duration network_delay = std::min(m_targets.WayTo(tracked.target), MAX_TARGET_DELAY);
   // The switch only helps if the target switches to a version that is new enough; otherwise it
   // would begin the request with that older version.
-  return std::ranges::any_of(WeightsFor(tracked.service),
-                             [&](const WeightsBound& bound)
-                             {
-                               return now >= bound.due - way && weights < bound.version &&
-                                      !m_targets.IsTaking(tracked.target, bound.version, now);
-                             });
+  return std::ranges::any_of(
+      SwitchDeadlinesFor(tracked.service),
+      [&](const WeightsBound& switch_deadline)
+      {
+        return now >= switch_deadline.due - network_delay && weights < switch_deadline.version &&
+               !m_targets.IsTaking(tracked.target, switch_deadline.version, now);
+      });
 }
 
-void Gateway::NoteWeights(const Tracked& tracked, std::uint64_t version, TimePoint now)
+void Gateway::LogIfOldWeights(const Tracked& tracked, std::uint64_t version, TimePoint now)
 {
   if (version == 0)
     return;
-  if (const auto bound = m_weights.FirstToReplace(ModelOf(tracked.service), version))
+  if (const auto switch_deadline =
+          m_switch_deadlines.EarliestReplacing(ModelOf(tracked.service), version))
   {
-    m_log.OnBegunOnOldWeights(tracked,
-                              {version, bound->version, WeightsBounds::TimeLeft(*bound, now)}, now);
+    m_log.OnStartedWithOldWeights(
+        tracked,
+        {version, switch_deadline->version, SwitchDeadlines::TimeLeft(*switch_deadline, now)}, now);
   }
 }
 
 std::vector<RequestNumber>
-Gateway::SentThat(const std::function<bool(const Tracked&)>& condition) const
+Gateway::SentRequestsWhere(const std::function<bool(const Tracked&)>& condition) const
 {
   std::vector<RequestNumber> numbers;
   for (const auto& [number, tracked] : m_requests)
@@ -99,38 +102,40 @@
   return numbers;
 }
 
-void Gateway::LeaveOldWeights(TimePoint now, Actions* actions)
+void Gateway::CancelOnOldWeights(TimePoint now, Actions* actions)
 {
-  if (!m_weights.IsAnyDue(now))
+  if (!m_switch_deadlines.IsAnyDue(now))
     return;
-  const auto is_late = [&](const Tracked& tracked) { return MayBeginOnOldWeights(tracked, now); };
-  TakeBack(SentThat(is_late), now, actions);
+  const auto may_start_with_old_weights = [&](const Tracked& tracked)
+  { return MayStartWithOldWeights(tracked, now); };
+  CancelAtTargets(SentRequestsWhere(may_start_with_old_weights), now, actions);
 }
 
-void Gateway::LeaveReported(const TargetLoad& load, TimePoint now, Actions* actions)
+void Gateway::MoveFromReportedTarget(const TargetLoad& load, TimePoint now, Actions* actions)
 {
   // The search for the target scans all targets, and reports are frequent.
-  if (!load.is_switching && !m_weights.IsOverdue(load.weights_version, now))
+  if (!load.is_switching && !m_switch_deadlines.IsOverdue(load.weights_version, now))
     return;
   const TargetId target = m_targets.FindByAddress(load.address);
   if (target.empty())
     return;
   if (load.is_switching)
-    LeaveSwitching(target, now, actions);
-  LeaveIfNotTaking(target, now, actions);
+    MoveFromSwitchingTarget(target, now, actions);
+  CancelIfNotSwitching(target, now, actions);
 }
 
-void Gateway::LeaveIfNotTaking(const TargetId& target, TimePoint now, Actions* actions)
+void Gateway::CancelIfNotSwitching(const TargetId& target, TimePoint now, Actions* actions)
 {
   if (m_targets.OwnWorkAt(target).requests == 0 ||
-      !m_weights.IsOverdue(m_targets.WeightsAt(target), now))
+      !m_switch_deadlines.IsOverdue(m_targets.WeightsAt(target), now))
     return;
-  const auto is_late = [&](const Tracked& tracked)
-  { return tracked.target == target && MayBeginOnOldWeights(tracked, now); };
-  TakeBack(SentThat(is_late), now, actions);
+  const auto may_start_with_old_weights = [&](const Tracked& tracked)
+  { return tracked.target == target && MayStartWithOldWeights(tracked, now); };
+  CancelAtTargets(SentRequestsWhere(may_start_with_old_weights), now, actions);
 }
 
-void Gateway::TakeBack(const std::vector<RequestNumber>& requests, TimePoint now, Actions* actions)
+void Gateway::CancelAtTargets(const std::vector<RequestNumber>& requests, TimePoint now,
+                              Actions* actions)
 {
   for (const RequestNumber number : requests)
   {
@@ -138,7 +143,7 @@
     Tracked* tracked = Find(number);
     if (!tracked || tracked->state != State::Sent)
       continue;
-    m_log.OnTakenBack(*tracked, now);
+    m_log.OnCancelledAtTarget(*tracked, now);
     if (Move(*tracked, "old_weights", now, actions))
       continue;
     actions->push_back(CancelAttempt{number});
@@ -162,11 +167,11 @@
   return true;
 }
 
-void Gateway::LeaveSwitching(const TargetId& target, TimePoint now, Actions* actions)
+void Gateway::MoveFromSwitchingTarget(const TargetId& target, TimePoint now, Actions* actions)
 {
   const auto may_leave = [&](const Tracked& tracked)
   { return tracked.target == target && MayRunAgain(tracked); };
-  for (const RequestNumber number : SentThat(may_leave))
+  for (const RequestNumber number : SentRequestsWhere(may_leave))
   {
     if (Tracked* tracked = Find(number); tracked && tracked->state == State::Sent)
       Move(*tracked, "switching", now, actions);
@@ -179,7 +184,7 @@
     return;
   tracked.move_at = TimePoint::max();
   // A move only helps if another target can begin the request at once.
-  const auto choice = m_targets.Choose(WishOf(tracked), now);
+  const auto choice = m_targets.Choose(QueryFor(tracked), now);
   if (choice && choice->has_free_slot)
     Move(tracked, "overdue", now, actions);
 }
--- a/Source/Core/Gateway/RequestLog.cpp
+++ b/Source/Core/Gateway/RequestLog.cpp
@@ -13,9 +13,9 @@
 
 // Each answer with old weights is logged if it begins less than this time before the switch
 // deadline, or later.
-static constexpr Milliseconds NEAR_BOUND = Milliseconds(500);
+static constexpr Milliseconds NEAR_DEADLINE_PERIOD = Milliseconds(500);
 // A target's own failure, which is passed on to the caller unchanged, has at least this status.
-static constexpr int LEAST_FAILURE_STATUS = 500;
+static constexpr int MIN_FAILURE_STATUS = 500;
 
 // The event of a failure has all data of the last attempt, because ordinary events are dropped
 // under load.
@@ -74,7 +74,7 @@
 {
   m_metrics.Add("holdpost_retries_total", Common::Reason(reason));
   LogFailure(tracked, now, "request.retry", "reason", reason, "runs", tracked.runs, "passed",
-             tracked.was_passed);
+             tracked.was_head_passed);
 }
 
 void RequestLog::OnStarted(const TrackedRequest& tracked, double correction, TimePoint now)
@@ -89,28 +89,28 @@
            "correction", correction);
 }
 
-void RequestLog::OnBegun(const TrackedRequest& tracked, TimePoint now)
+void RequestLog::OnAnswerHeadPassed(const TrackedRequest& tracked, TimePoint now)
 {
   m_metrics.Record("holdpost_first_event_seconds", now - tracked.arrived,
                    Common::ServiceOutcome(tracked.service, "begun"));
 }
 
-void RequestLog::OnBegunOnOldWeights(const TrackedRequest& tracked, const OldWeightsStart& start,
-                                     TimePoint now)
+void RequestLog::OnStartedWithOldWeights(const TrackedRequest& tracked,
+                                         const OldWeightsAnswer& start, TimePoint now)
 {
   const std::string label = Common::ServiceOutcome(tracked.service, "begun");
   if (start.left < Duration::zero())
     m_metrics.Add("holdpost_begun_too_late_total", label);
   else
     m_metrics.Record("holdpost_old_weights_left_seconds", start.left, label);
-  if (start.left < NEAR_BOUND)
+  if (start.left < NEAR_DEADLINE_PERIOD)
   {
     LogFailure(tracked, now, "request.old_weights", "begun_on", start.begun_on, "replaced_by",
                start.replaced_by, "left_ms", start.left);
   }
 }
 
-void RequestLog::OnTakenBack(const TrackedRequest& tracked, TimePoint now)
+void RequestLog::OnCancelledAtTarget(const TrackedRequest& tracked, TimePoint now)
 {
   m_metrics.Add("holdpost_taken_back_total", Common::Reason("old_weights"));
   LogFailure(tracked, now, "request.taken_back", "reason", "old_weights");
@@ -121,17 +121,17 @@
   m_metrics.Add("holdpost_answers_whole_total");
   RecordTime(tracked, "done", now);
   const int status = tracked.last_attempt->answer_status;
-  if (status >= LEAST_FAILURE_STATUS)
+  if (status >= MIN_FAILURE_STATUS)
   {
-    return LogFailure(tracked, now, "request.done", "first_ms", tracked.begun - tracked.arrived,
-                      "took_ms", now - tracked.arrived);
+    return LogFailure(tracked, now, "request.done", "first_ms",
+                      tracked.answer_passed_at - tracked.arrived, "took_ms", now - tracked.arrived);
   }
   LogEvent(Weight::Ordinary, now, "request.done", "request", tracked.request.id, "target",
-           tracked.target, "first_ms", tracked.begun - tracked.arrived, "took_ms",
+           tracked.target, "first_ms", tracked.answer_passed_at - tracked.arrived, "took_ms",
            now - tracked.arrived, "attempts", tracked.sends, "answer_status", status);
 }
 
-void RequestLog::OnLeft(const TrackedRequest& tracked, TimePoint now)
+void RequestLog::OnCallerLeft(const TrackedRequest& tracked, TimePoint now)
 {
   m_metrics.Add("holdpost_callers_left_total");
   RecordTime(tracked, "left", now);
@@ -144,21 +144,21 @@
 {
   RecordTime(tracked, "refused", now);
   m_metrics.Add("holdpost_requests_refused_total", Common::Reason(answer.name));
-  LogFailure(tracked, now, "request.refused", "reason", answer.name, "status", answer.http_status,
-             "service", tracked.service, "waited_ms", now - tracked.arrived, "deadline_ms",
-             tracked.request.deadline.value_or(Milliseconds(-1)), "runs", tracked.runs,
-             "utilization", view.utilization, "best_expected_ms", view.room.best_start, "goal_ms",
-             tracked.route.goal, "admitted_part", view.room.admitted_part, "arrivals_per_second",
-             view.room.demand.near_per_second + view.room.demand.far_per_second, "refused_share",
-             view.room.demand.refused_share, "settings", view.settings, "targets",
-             view.targets.listed, "open", view.targets.open, "leaving", view.targets.leaving,
-             "avoided", view.targets.avoided, "switching", view.targets.switching,
-             "without_weights", view.targets.without_weights, "old_weights",
-             view.targets.old_weights, "unreported", view.targets.unreported);
+  LogFailure(
+      tracked, now, "request.refused", "reason", answer.name, "status", answer.http_status,
+      "service", tracked.service, "waited_ms", now - tracked.arrived, "deadline_ms",
+      tracked.request.deadline.value_or(Milliseconds(-1)), "runs", tracked.runs, "utilization",
+      view.utilization, "best_expected_ms", view.capacity.best_start, "goal_ms", tracked.route.goal,
+      "admitted_part", view.capacity.admitted_part, "arrivals_per_second",
+      view.capacity.demand.near_per_second + view.capacity.demand.far_per_second, "refused_share",
+      view.capacity.demand.refused_share, "settings", view.settings, "targets", view.targets.listed,
+      "open", view.targets.open, "leaving", view.targets.leaving, "avoided", view.targets.avoided,
+      "switching", view.targets.switching, "without_weights", view.targets.without_weights,
+      "old_weights", view.targets.old_weights, "unreported", view.targets.unreported);
 }
 
-void RequestLog::OnCut(const TrackedRequest& tracked, const Common::ErrorAnswer& answer,
-                       TimePoint now)
+void RequestLog::OnAnswerCut(const TrackedRequest& tracked, const Common::ErrorAnswer& answer,
+                             TimePoint now)
 {
   RecordTime(tracked, "cut", now);
   m_metrics.Add("holdpost_answers_cut_total", Common::Reason(answer.name));
--- a/Source/Core/Gateway/RequestLog.h
+++ b/Source/Core/Gateway/RequestLog.h
@@ -15,13 +15,13 @@
   // The number of requests that wait or run at the service's targets, divided by the targets'
   // slots.
   double utilization = 0;
-  ServiceRoom room;
+  ServiceRoom capacity;
   TargetSurvey targets;
   Settings::DocumentVersion settings = 0;
 };
 
 // An answer that began with weights that a newer named version replaces.
-struct OldWeightsStart
+struct OldWeightsAnswer
 {
   // The version that the answer began with, as reported by the target.
   std::uint64_t begun_on = 0;
@@ -45,19 +45,19 @@
   // The present target has sent its first event. `correction` is the factor by which the engine's
   // published times are multiplied.
   void OnStarted(const TrackedRequest& tracked, double correction, Common::TimePoint now);
-  void OnBegun(const TrackedRequest& tracked, Common::TimePoint now);
+  void OnAnswerHeadPassed(const TrackedRequest& tracked, Common::TimePoint now);
   // The answer began with weights that a newer named version replaces.
-  void OnBegunOnOldWeights(const TrackedRequest& tracked, const OldWeightsStart& start,
-                           Common::TimePoint now);
+  void OnStartedWithOldWeights(const TrackedRequest& tracked, const OldWeightsAnswer& start,
+                               Common::TimePoint now);
   // The request is cancelled at a target that has not begun it and whose weights are about to be
   // too old.
-  void OnTakenBack(const TrackedRequest& tracked, Common::TimePoint now);
+  void OnCancelledAtTarget(const TrackedRequest& tracked, Common::TimePoint now);
   void OnDone(const TrackedRequest& tracked, Common::TimePoint now);
-  void OnLeft(const TrackedRequest& tracked, Common::TimePoint now);
+  void OnCallerLeft(const TrackedRequest& tracked, Common::TimePoint now);
   void OnRefused(const TrackedRequest& tracked, const Common::ErrorAnswer& answer,
                  const ServiceView& view, Common::TimePoint now);
-  void OnCut(const TrackedRequest& tracked, const Common::ErrorAnswer& answer,
-             Common::TimePoint now);
+  void OnAnswerCut(const TrackedRequest& tracked, const Common::ErrorAnswer& answer,
+                   Common::TimePoint now);
 
 private:
   void RecordTime(const TrackedRequest& tracked, std::string_view outcome, Common::TimePoint now);
--- a/Source/Core/Gateway/RetryAllowance.cpp
+++ b/Source/Core/Gateway/RetryAllowance.cpp
@@ -7,7 +7,7 @@
 
 // Reduces the allowance, because other gateways may count a request in another slice than this one,
 // and because a gateway that has just started or ended is counted late.
-static constexpr double SAFETY = 0.8;
+static constexpr double SAFETY_FACTOR = 0.8;
 
 std::uint64_t RetryAllowance::IndexAt(TimePoint now) const
 {
@@ -31,22 +31,22 @@
 
 bool RetryAllowance::Take(TimePoint now)
 {
-  Slice& present = SliceAt(now);
+  Slice& current = SliceAt(now);
   double requests = 0;
   double retries = 0;
   for (const Slice& slice : m_slices)
   {
-    const std::uint64_t age = present.index - slice.index;
+    const std::uint64_t age = current.index - slice.index;
     // Retries count for one slice more than requests do, so that the limits hold in any window.
     if (age <= SLICES)
       retries += slice.retries;
     if (age < SLICES)
       requests += slice.requests;
   }
-  const double fixed = SAFETY * m_limits.extra / static_cast<double>(m_gateways);
-  if (retries + 1 > m_limits.ratio * SAFETY * requests + fixed)
+  const double fixed = SAFETY_FACTOR * m_limits.extra / static_cast<double>(m_gateways);
+  if (retries + 1 > m_limits.ratio * SAFETY_FACTOR * requests + fixed)
     return false;
-  ++present.retries;
+  ++current.retries;
   return true;
 }
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/StopPlan.h
+++ b/Source/Core/Gateway/StopPlan.h
@@ -23,24 +23,24 @@
 {
 public:
   // `within` is the time between the request to stop and the forced kill of the process.
-  explicit StopPlan(Common::Duration within) : m_within(within) {}
+  explicit StopPlan(Common::Duration within) : m_stop_within(within) {}
 
-  void SetWithin(Common::Duration within) { m_within = within; }
+  void SetWithin(Common::Duration within) { m_stop_within = within; }
   // Records the request to stop; a second request changes nothing.
   void Ask(Common::TimePoint now)
   {
-    if (!m_asked)
-      m_asked = now;
+    if (!m_stop_requested_at)
+      m_stop_requested_at = now;
   }
-  bool IsAsked() const { return m_asked.has_value(); }
+  bool IsAsked() const { return m_stop_requested_at.has_value(); }
   StopPhase PhaseAt(Common::TimePoint now, std::size_t open_requests) const
   {
-    if (!m_asked)
+    if (!m_stop_requested_at)
       return StopPhase::Serving;
-    const Common::Duration elapsed = now - *m_asked;
-    if (elapsed >= m_within - END_MARGIN)
+    const Common::Duration elapsed = now - *m_stop_requested_at;
+    if (elapsed >= m_stop_within - END_MARGIN)
       return StopPhase::Ended;
-    if (elapsed < TAKES_FOR)
+    if (elapsed < ACCEPT_PERIOD)
       return StopPhase::Leaving;
     return open_requests == 0 ? StopPhase::Ended : StopPhase::Draining;
   }
@@ -48,10 +48,10 @@
 private:
   // Time in which new requests are still accepted: callers need it to see that the ready check
   // fails, and a request that is accepted in it still has most of the stop time to end.
-  static constexpr Common::Milliseconds TAKES_FOR = Common::Milliseconds(2800);
+  static constexpr Common::Milliseconds ACCEPT_PERIOD = Common::Milliseconds(2800);
   static constexpr Common::Milliseconds END_MARGIN = Common::Milliseconds(300);
 
-  Common::Duration m_within;
-  std::optional<Common::TimePoint> m_asked;
+  Common::Duration m_stop_within;
+  std::optional<Common::TimePoint> m_stop_requested_at;
 };
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/TrackedRequest.h
+++ b/Source/Core/Gateway/TrackedRequest.h
@@ -44,7 +44,7 @@
   // The caller's first attempt, as estimated from the deadline. The goal counts from this time.
   Common::TimePoint first_tried{};
   // The time at which the head of an answer was passed on to the caller.
-  Common::TimePoint begun{};
+  Common::TimePoint answer_passed_at{};
   Common::TimePoint deadline{};
   // A request that no target can begin is refused at this time.
   Common::TimePoint refuse_at{};
@@ -57,8 +57,8 @@
   // The number of times that the request was sent, and the number of times that it may have run.
   std::uint32_t sends = 0;
   std::uint32_t runs = 0;
-  bool has_started = false; // the present target has begun to answer
-  bool was_passed = false;  // the head of an answer was passed on to the caller
+  bool has_started = false;     // the present target has begun to answer
+  bool was_head_passed = false; // the head of an answer was passed on to the caller
   std::optional<EventId> last_event;
 
   std::uint32_t PromptTokens() const
--- a/Source/Core/Gateway/WaitLimit.cpp
+++ b/Source/Core/Gateway/WaitLimit.cpp
@@ -9,24 +9,24 @@
 // Divisor of the time in which a request has to begin: a request waits for targets that load
 // weights only for that fraction of it. A request that arrives late in the loading can still begin
 // in time.
-static constexpr int LOADING_SHARE = 2;
+static constexpr int LOADING_WAIT_DIVISOR = 2;
 
-static bool IsCrowded(const TargetSurvey& survey)
+static bool HasUsableTargets(const TargetSurvey& survey)
 {
   return survey.open > 0 || survey.avoided > 0;
 }
 
-Duration WaitMost(const TargetSurvey& survey, std::size_t waiting, Duration pass,
-                  Duration start_goal)
+Duration MaxWait(const TargetSurvey& survey, std::size_t waiting, Duration pass,
+                 Duration start_goal)
 {
   // A request that gets no target within a pass meets lasting overload: a longer wait would only
   // delay the refusal.
-  if (IsCrowded(survey))
+  if (HasUsableTargets(survey))
     return pass;
   // Only as many requests wait as the targets that load weights can run afterwards. If only 1 of
   // 200 targets loads weights, all other requests would wait in vain.
   if (survey.switching > 0 && static_cast<double>(waiting) <= survey.switching_room)
-    return start_goal / LOADING_SHARE;
+    return start_goal / LOADING_WAIT_DIVISOR;
   // A gateway that has just started receives the target list and the load reports within moments.
   if (survey.listed == 0 || survey.unreported > 0)
     return pass;
@@ -37,8 +37,8 @@
 
 ErrorKind RefusalReason(const TargetSurvey& survey)
 {
-  const bool lacks_weights =
-      survey.switching + survey.old_weights + survey.without_weights > 0 && !IsCrowded(survey);
+  const bool lacks_weights = survey.switching + survey.old_weights + survey.without_weights > 0 &&
+                             !HasUsableTargets(survey);
   return lacks_weights ? ErrorKind::NoWeights : ErrorKind::QueueFull;
 }
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/WeightsBounds.cpp
+++ b/Source/Core/Gateway/WeightsBounds.cpp
@@ -18,69 +18,71 @@
 static constexpr Duration SWITCH_MARGIN = Milliseconds(250);
 // Time after the switch deadline, or after the gateway learns of it, in which the gateway looks for
 // requests with old weights. The kept deadline is before the real one by the margin above.
-static constexpr Duration SWEEP_TIME = Milliseconds(500);
+static constexpr Duration SWEEP_PERIOD = Milliseconds(500);
 // The maximum number of versions of a model whose switch deadlines are kept.
-static constexpr std::size_t BOUNDS_KEPT = 4;
+static constexpr std::size_t MAX_DEADLINES_PER_MODEL = 4;
 
-std::optional<TimePoint> WeightsBounds::OnNamed(const std::string& model,
-                                                const Control::KnownVersion& known, TimePoint now)
+std::optional<TimePoint> SwitchDeadlines::OnVersionNamed(const std::string& model,
+                                                         const Control::KnownVersion& known,
+                                                         TimePoint now)
 {
-  std::vector<WeightsBound>& bounds = m_bounds[model];
-  const auto place = std::ranges::lower_bound(bounds, known.version, {}, &WeightsBound::version);
-  const bool is_known = place != bounds.end() && place->version == known.version;
+  std::vector<WeightsBound>& deadlines = m_deadlines[model];
+  const auto place = std::ranges::lower_bound(deadlines, known.version, {}, &WeightsBound::version);
+  const bool is_known = place != deadlines.end() && place->version == known.version;
   if (is_known && !known.since.Replaces(place->since))
     return std::nullopt;
   const TimePoint due = known.since.time + m_switch_within - SWITCH_MARGIN;
   LogEvent(Weight::Important, now, "weights.named", "model", model, "version", known.version,
-           "newest", bounds.empty() ? 0 : bounds.back().version, "known_before", is_known, "age_ms",
-           now - known.since.time, "is_assumed", known.since.is_assumed);
-  const WeightsBound bound{known.version, due, known.since, std::max(due, now) + SWEEP_TIME};
+           "newest", deadlines.empty() ? 0 : deadlines.back().version, "known_before", is_known,
+           "age_ms", now - known.since.time, "is_assumed", known.since.is_assumed);
+  const WeightsBound switch_deadline{known.version, due, known.since,
+                                     std::max(due, now) + SWEEP_PERIOD};
   if (is_known)
-    *place = bound;
+    *place = switch_deadline;
   else
-    bounds.insert(place, bound);
-  if (bounds.size() > BOUNDS_KEPT)
-    bounds.erase(bounds.begin());
+    deadlines.insert(place, switch_deadline);
+  if (deadlines.size() > MAX_DEADLINES_PER_MODEL)
+    deadlines.erase(deadlines.begin());
   return due;
 }
 
-const std::vector<WeightsBound>& WeightsBounds::Of(const std::string& model) const
+const std::vector<WeightsBound>& SwitchDeadlines::DeadlinesOf(const std::string& model) const
 {
   static const std::vector<WeightsBound> NONE;
-  const auto found = m_bounds.find(model);
-  return found == m_bounds.end() ? NONE : found->second;
+  const auto found = m_deadlines.find(model);
+  return found == m_deadlines.end() ? NONE : found->second;
 }
 
-std::optional<WeightsBound> WeightsBounds::FirstToReplace(const std::string& model,
-                                                          std::uint64_t version) const
+std::optional<WeightsBound> SwitchDeadlines::EarliestReplacing(const std::string& model,
+                                                               std::uint64_t version) const
 {
   std::optional<WeightsBound> first;
-  for (const WeightsBound& bound : Of(model))
+  for (const WeightsBound& switch_deadline : DeadlinesOf(model))
   {
-    if (bound.version > version && (!first || bound.due < first->due))
-      first = bound;
+    if (switch_deadline.version > version && (!first || switch_deadline.due < first->due))
+      first = switch_deadline;
   }
   return first;
 }
 
-Duration WeightsBounds::TimeLeft(const WeightsBound& bound, TimePoint now)
+Duration SwitchDeadlines::TimeLeft(const WeightsBound& switch_deadline, TimePoint now)
 {
-  return bound.due + SWITCH_MARGIN - now;
+  return switch_deadline.due + SWITCH_MARGIN - now;
 }
 
-bool WeightsBounds::IsOverdue(std::uint64_t version, TimePoint now) const
+bool SwitchDeadlines::IsOverdue(std::uint64_t version, TimePoint now) const
 {
-  const auto is_overdue = [version, now](const WeightsBound& bound)
-  { return bound.version > version && now >= bound.due; };
-  return std::ranges::any_of(m_bounds, [&](const auto& entry)
+  const auto is_overdue = [version, now](const WeightsBound& switch_deadline)
+  { return switch_deadline.version > version && now >= switch_deadline.due; };
+  return std::ranges::any_of(m_deadlines, [&](const auto& entry)
                              { return std::ranges::any_of(entry.second, is_overdue); });
 }
 
-bool WeightsBounds::IsAnyDue(TimePoint now) const
+bool SwitchDeadlines::IsAnyDue(TimePoint now) const
 {
-  const auto is_due = [now](const WeightsBound& bound)
-  { return now >= bound.due - TARGET_WAY_MOST && now < bound.sweep_until; };
-  return std::ranges::any_of(m_bounds, [&](const auto& entry)
+  const auto is_due = [now](const WeightsBound& switch_deadline)
+  { return now >= switch_deadline.due - MAX_TARGET_DELAY && now < switch_deadline.sweep_until; };
+  return std::ranges::any_of(m_deadlines, [&](const auto& entry)
                              { return std::ranges::any_of(entry.second, is_due); });
 }
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/WeightsBounds.h
+++ b/Source/Core/Gateway/WeightsBounds.h
@@ -13,25 +13,27 @@
 // version of its weights.
 namespace Holdpost::Gateway
 {
-class WeightsBounds
+class SwitchDeadlines
 {
 public:
   // `switch_within` is the time after the naming of a version by which all targets have to use it.
-  explicit WeightsBounds(Common::Milliseconds switch_within) : m_switch_within(switch_within) {}
+  explicit SwitchDeadlines(Common::Milliseconds switch_within) : m_switch_within(switch_within) {}
   void SetSwitchWithin(Common::Milliseconds switch_within) { m_switch_within = switch_within; }
 
   // A new version of weights was named, or the time of its naming is known better. Returns the
   // switch deadline of the version, or nothing if it does not change.
-  std::optional<Common::TimePoint>
-  OnNamed(const std::string& model, const Control::KnownVersion& known, Common::TimePoint now);
+  std::optional<Common::TimePoint> OnVersionNamed(const std::string& model,
+                                                  const Control::KnownVersion& known,
+                                                  Common::TimePoint now);
   // The switch deadlines of the model; the oldest version is first.
-  const std::vector<WeightsBound>& Of(const std::string& model) const;
+  const std::vector<WeightsBound>& DeadlinesOf(const std::string& model) const;
   // Of the versions that replace this one, the version with the earliest switch deadline; empty if
   // there is none.
-  std::optional<WeightsBound> FirstToReplace(const std::string& model, std::uint64_t version) const;
+  std::optional<WeightsBound> EarliestReplacing(const std::string& model,
+                                                std::uint64_t version) const;
   // The time until all targets have to use the version; negative after that. The field `due` is
   // earlier by a margin.
-  static Common::Duration TimeLeft(const WeightsBound& bound, Common::TimePoint now);
+  static Common::Duration TimeLeft(const WeightsBound& switch_deadline, Common::TimePoint now);
   // Whether, for any model, the switch deadline of a version newer than this one has passed.
   bool IsOverdue(std::uint64_t version, Common::TimePoint now) const;
   // Whether the gateway has to look for requests that may begin with old weights.
@@ -39,10 +41,10 @@
 
 private:
   Common::Milliseconds m_switch_within;
-  std::map<std::string, std::vector<WeightsBound>> m_bounds; // by model
+  std::map<std::string, std::vector<WeightsBound>> m_deadlines; // by model
 };
 
 // Requests are cancelled earlier at targets behind a slow link, by the network delay to the target,
 // but at most by this time.
-constexpr Common::Duration TARGET_WAY_MOST = Common::Milliseconds(1500);
+constexpr Common::Duration MAX_TARGET_DELAY = Common::Milliseconds(1500);
 } // namespace Holdpost::Gateway
--- a/Source/UnitTests/Core/Gateway/GatewayFixture.h
+++ b/Source/UnitTests/Core/Gateway/GatewayFixture.h
@@ -108,7 +108,7 @@
   {
     gateway.Handle(event, now, &actions);
   }
-  void Pass(Common::Duration time)
+  void Advance(Common::Duration time)
   {
     now += time;
     gateway.OnTick(now, &actions);
--- a/Source/UnitTests/Core/Gateway/GatewayMovesTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayMovesTest.cpp
@@ -49,15 +49,15 @@
   Fixture f;
   const RequestNumber number = f.Arrive("/chat/");
   const auto first = Take<Dispatch>(f.actions);
-  f.Pass(Milliseconds(400));
+  f.Advance(Milliseconds(400));
   CHECK(Take<Dispatch>(f.actions).empty());
-  f.Pass(Milliseconds(300));
+  f.Advance(Milliseconds(300));
   CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
   const auto again = Take<Dispatch>(f.actions);
   REQUIRE(again.size() == 1);
   CHECK(again[0].number == number);
   CHECK(again[0].target != first[0].target);
-  f.Pass(Milliseconds(2000));
+  f.Advance(Milliseconds(2000));
   CHECK(Take<Dispatch>(f.actions).empty());
 }
 
@@ -73,7 +73,7 @@
     f.Arrive("/single/");
   }
   Take<Dispatch>(f.actions);
-  f.Pass(Milliseconds(3000));
+  f.Advance(Milliseconds(3000));
   CHECK(Take<Dispatch>(f.actions).empty());
 }
 
@@ -82,26 +82,26 @@
   Fixture f;
   const auto load = [&](const ListedTarget& target, std::uint64_t weights, std::uint32_t running)
   {
-    TargetLoad told;
-    told.address = target.address;
-    told.weights_version = weights;
-    told.running = running;
-    f.gateway.OnTargetLoad(told, f.now, &f.actions);
+    TargetLoad report;
+    report.address = target.address;
+    report.weights_version = weights;
+    report.running = running;
+    f.gateway.OnTargetLoad(report, f.now, &f.actions);
   };
   // A newer version is named later; the switch deadline of the first one still applies.
   f.gateway.OnWeightsNamed("m", {2, {f.now}}, f.now);
   f.gateway.OnWeightsNamed("m", {3, {f.now + Milliseconds(3000)}}, f.now);
-  f.Pass(Milliseconds(6000));
+  f.Advance(Milliseconds(6000));
   load(f.listed[0], 1, 0);
   load(f.listed[1], 2, 2);
   const RequestNumber number = f.Arrive("/chat/");
   const auto sent = Take<Dispatch>(f.actions);
   REQUIRE(sent.at(0).target == "llm-1");
-  f.Pass(Milliseconds(1700));
+  f.Advance(Milliseconds(1700));
   load(f.listed[1], 2, 2);
   CHECK(Testing::Only<CancelAttempt>(f.actions).empty());
   // 250 ms before the weights have to be replaced.
-  f.Pass(Milliseconds(60));
+  f.Advance(Milliseconds(60));
   CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
   const auto again = Take<Dispatch>(f.actions);
   REQUIRE(again.size() == 1);
@@ -121,33 +121,33 @@
 {
 // Sends a request to a target with old weights, and lets it wait there until 600 ms before all
 // targets have to use the new version. Returns the target's load report.
-TargetLoad WaitAtOldWeights(Fixture& f, const std::string& path)
+TargetLoad SendToTargetWithOldWeights(Fixture& f, const std::string& path)
 {
   f.gateway.OnWeightsNamed("m", {2, {f.now}}, f.now);
-  f.Pass(Milliseconds(6000));
-  TargetLoad told;
-  told.weights_version = 1;
+  f.Advance(Milliseconds(6000));
+  TargetLoad report;
+  report.weights_version = 1;
   for (const ListedTarget& target : f.listed)
   {
-    told.address = target.address;
-    f.gateway.OnTargetLoad(told, f.now, &f.actions);
+    report.address = target.address;
+    f.gateway.OnTargetLoad(report, f.now, &f.actions);
   }
   f.Arrive(path);
   const auto sent = Take<Dispatch>(f.actions);
   REQUIRE(sent.size() == 1);
-  told.address = sent[0].address;
-  f.Pass(Milliseconds(1400));
+  report.address = sent[0].address;
+  f.Advance(Milliseconds(1400));
   f.actions.clear();
-  return told;
+  return report;
 }
 
-void CheckGivenUpAtBound(Fixture& f, const std::string& path)
+void CheckGivenUpAtSwitchDeadline(Fixture& f, const std::string& path)
 {
-  const TargetLoad told = WaitAtOldWeights(f, path);
+  const TargetLoad report = SendToTargetWithOldWeights(f, path);
   REQUIRE(f.gateway.NextWakeup().has_value());
   CHECK(*f.gateway.NextWakeup() <= START + Milliseconds(7750));
-  f.gateway.OnTargetLoad(told, f.now, &f.actions);
-  f.Pass(Milliseconds(360));
+  f.gateway.OnTargetLoad(report, f.now, &f.actions);
+  f.Advance(Milliseconds(360));
   CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
   const auto refused = Take<Refuse>(f.actions);
   REQUIRE(refused.size() == 1);
@@ -161,23 +161,23 @@
   SUBCASE("the request may not be repeated")
   {
     Fixture f;
-    CheckGivenUpAtBound(f, "/draft/");
+    CheckGivenUpAtSwitchDeadline(f, "/draft/");
   }
   SUBCASE("no retry is left")
   {
     Fixture f({Milliseconds(10000), 0, 0});
-    CheckGivenUpAtBound(f, "/chat/");
+    CheckGivenUpAtSwitchDeadline(f, "/chat/");
   }
   SUBCASE(
       "the request stays if the target switches to the new weights before it begins any request")
   {
     Fixture f;
-    TargetLoad told = WaitAtOldWeights(f, "/draft/");
-    told.is_switching = true;
-    told.next_version = 2;
-    f.Pass(Milliseconds(300));
-    f.gateway.OnTargetLoad(told, f.now, &f.actions);
-    f.Pass(Milliseconds(100));
+    TargetLoad report = SendToTargetWithOldWeights(f, "/draft/");
+    report.is_switching = true;
+    report.next_version = 2;
+    f.Advance(Milliseconds(300));
+    f.gateway.OnTargetLoad(report, f.now, &f.actions);
+    f.Advance(Milliseconds(100));
     CHECK(Testing::Only<Refuse>(f.actions).empty());
   }
   // A delayed push: the target switches to a version when the switch deadline of the next version
@@ -186,12 +186,12 @@
   {
     Fixture f;
     f.gateway.OnWeightsNamed("m", {3, {f.now}}, f.now);
-    TargetLoad told = WaitAtOldWeights(f, "/draft/");
-    told.is_switching = true;
-    told.next_version = 2;
-    f.Pass(Milliseconds(300));
-    f.gateway.OnTargetLoad(told, f.now, &f.actions);
-    f.Pass(Milliseconds(100));
+    TargetLoad report = SendToTargetWithOldWeights(f, "/draft/");
+    report.is_switching = true;
+    report.next_version = 2;
+    f.Advance(Milliseconds(300));
+    f.gateway.OnTargetLoad(report, f.now, &f.actions);
+    f.Advance(Milliseconds(100));
     CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
     CHECK(Testing::Only<Refuse>(f.actions).size() == 1);
   }
@@ -202,25 +202,25 @@
   Fixture f;
   SUBCASE("the target ends its announced switch without new weights")
   {
-    TargetLoad told = WaitAtOldWeights(f, "/draft/");
-    told.is_switching = true;
-    told.next_version = 2;
-    f.Pass(Milliseconds(300));
-    f.gateway.OnTargetLoad(told, f.now, &f.actions);
-    f.Pass(Milliseconds(400));
-    f.gateway.OnTargetLoad(told, f.now, &f.actions);
-    f.Pass(Milliseconds(400));
+    TargetLoad report = SendToTargetWithOldWeights(f, "/draft/");
+    report.is_switching = true;
+    report.next_version = 2;
+    f.Advance(Milliseconds(300));
+    f.gateway.OnTargetLoad(report, f.now, &f.actions);
+    f.Advance(Milliseconds(400));
+    f.gateway.OnTargetLoad(report, f.now, &f.actions);
+    f.Advance(Milliseconds(400));
     CHECK(Testing::Only<CancelAttempt>(f.actions).empty());
-    told.is_switching = false;
-    told.next_version = 0;
-    f.gateway.OnTargetLoad(told, f.now, &f.actions);
+    report.is_switching = false;
+    report.next_version = 0;
+    f.gateway.OnTargetLoad(report, f.now, &f.actions);
     CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
   }
   SUBCASE("the gateway learns late when the version was named")
   {
     f.Arrive("/draft/");
     f.gateway.OnWeightsNamed("m", {2, {f.now - Milliseconds(9000)}}, f.now);
-    f.Pass(Milliseconds(10));
+    f.Advance(Milliseconds(10));
     CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
   }
 }
@@ -230,7 +230,7 @@
   Fixture f;
   f.gateway.OnWeightsNamed("m", {2, {f.now - Milliseconds(5000), true}}, f.now);
   f.gateway.OnWeightsNamed("m", {2, {f.now - Milliseconds(1000)}}, f.now);
-  f.Pass(Milliseconds(2000));
+  f.Advance(Milliseconds(2000));
   f.Arrive("/chat/");
   CHECK(Take<Dispatch>(f.actions).size() == 1);
 }
@@ -239,23 +239,23 @@
 {
   Fixture f;
   f.gateway.OnWeightsNamed("m", {2, {f.now}}, f.now);
-  f.Pass(Milliseconds(5500));
-  TargetLoad told;
-  told.address = f.listed[1].address;
-  told.weights_version = 2;
-  told.running = 2;
-  f.gateway.OnTargetLoad(told, f.now, &f.actions);
-  told.address = f.listed[0].address;
-  told.weights_version = 1;
-  told.running = 0;
-  f.gateway.OnTargetLoad(told, f.now, &f.actions);
+  f.Advance(Milliseconds(5500));
+  TargetLoad report;
+  report.address = f.listed[1].address;
+  report.weights_version = 2;
+  report.running = 2;
+  f.gateway.OnTargetLoad(report, f.now, &f.actions);
+  report.address = f.listed[0].address;
+  report.weights_version = 1;
+  report.running = 0;
+  f.gateway.OnTargetLoad(report, f.now, &f.actions);
   f.Arrive("/chat/");
   REQUIRE(Take<Dispatch>(f.actions).at(0).target == "llm-1");
   // The link of the target has become slow.
-  told.inbound_delay = Milliseconds(1000);
-  f.gateway.OnTargetLoad(told, f.now, &f.actions);
-  f.Pass(Milliseconds(1200));
+  report.inbound_delay = Milliseconds(1000);
+  f.gateway.OnTargetLoad(report, f.now, &f.actions);
+  f.Advance(Milliseconds(1200));
   CHECK(Testing::Only<CancelAttempt>(f.actions).empty());
-  f.Pass(Milliseconds(60));
+  f.Advance(Milliseconds(60));
   CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
 }
--- a/Source/UnitTests/Core/Gateway/GatewayTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayTest.cpp
@@ -116,7 +116,7 @@
     CHECK(Take<Dispatch>(f.actions).size() == 1);
     f.Feed(AnswerBegan{number, 503, true, true, false});
     // No other target is left: the request has not run, and the refusal states that.
-    f.Pass(Milliseconds(100));
+    f.Advance(Milliseconds(100));
     const auto refused = Take<Refuse>(f.actions);
     CHECK(Common::AnswerFor(refused.at(0).error.kind).outcome == Common::Outcome::NotRun);
   }
@@ -209,14 +209,14 @@
   Take<Dispatch>(f.actions);
   SUBCASE("the answer has not begun: the attempt ends and the caller gets its final answer at once")
   {
-    f.Pass(Milliseconds(1000));
+    f.Advance(Milliseconds(1000));
     CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
     CHECK(Take<Refuse>(f.actions).at(0).error.kind == ErrorKind::AnswerTimeout);
   }
   SUBCASE("the answer has begun: it is cut")
   {
     f.Feed(f.Began(number));
-    f.Pass(Milliseconds(1000));
+    f.Advance(Milliseconds(1000));
     CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
     CHECK(Take<AbortAnswer>(f.actions).size() == 1);
   }
@@ -278,18 +278,18 @@
   const auto number = f.Arrive("/chat/");
   const auto sent = Testing::Only<Dispatch>(f.actions);
   REQUIRE(sent.size() == 1);
-  auto told = Take<TellAgent>(f.actions);
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].target == sent[0].address);
-  CHECK(told[0].work == OwnWork{1, 1000});
+  auto reports = Take<TellAgent>(f.actions);
+  REQUIRE(reports.size() == 1);
+  CHECK(reports[0].target == sent[0].address);
+  CHECK(reports[0].work == OwnWork{1, 1000});
   f.Feed(f.Began(number));
-  told = Take<TellAgent>(f.actions);
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].work == OwnWork{1, 0});
+  reports = Take<TellAgent>(f.actions);
+  REQUIRE(reports.size() == 1);
+  CHECK(reports[0].work == OwnWork{1, 0});
   f.Feed(AnswerEnded{number});
-  told = Take<TellAgent>(f.actions);
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].work == OwnWork{});
+  reports = Take<TellAgent>(f.actions);
+  REQUIRE(reports.size() == 1);
+  CHECK(reports[0].work == OwnWork{});
 
   SUBCASE("nothing is reported for services without agents")
   {
@@ -301,8 +301,8 @@
     const auto other = f.Arrive("/chat/");
     f.actions.clear();
     f.Feed(CallerLeft{other});
-    told = Take<TellAgent>(f.actions);
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].work == OwnWork{});
+    reports = Take<TellAgent>(f.actions);
+    REQUIRE(reports.size() == 1);
+    CHECK(reports[0].work == OwnWork{});
   }
 }
--- a/Source/UnitTests/Core/Gateway/GatewayWaitingTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayWaitingTest.cpp
@@ -20,7 +20,7 @@
   CHECK(sent.size() >= 4);
   CHECK(sent.size() < 12);
   CHECK(Take<Refuse>(f.actions).empty());
-  f.Pass(Milliseconds(100));
+  f.Advance(Milliseconds(100));
   const auto refused = Take<Refuse>(f.actions);
   CHECK(refused.size() == 40 - sent.size());
   for (const Refuse& refuse : refused)
@@ -41,7 +41,7 @@
     numbers.push_back(f.Arrive("/chat/"));
   const auto sent = Take<Dispatch>(f.actions);
   // A request waits for one pass of the engines; 40 ms are less than that.
-  f.Pass(Milliseconds(40));
+  f.Advance(Milliseconds(40));
   f.Feed(f.Began(sent[0].number));
   f.Feed(AnswerEnded{sent[0].number});
   CHECK(Take<Dispatch>(f.actions).size() == 1);
@@ -72,7 +72,7 @@
   for (int i = 0; i < 40; ++i)
     f.Arrive("/chat/");
   const std::size_t sent = Take<Dispatch>(f.actions).size();
-  f.Pass(Milliseconds(51));
+  f.Advance(Milliseconds(51));
   CHECK(Take<Refuse>(f.actions).size() == 40 - sent);
 }
 
@@ -104,7 +104,7 @@
       f.Arrive("/chat/", "key-1", usual);
       sent += Take<Dispatch>(f.actions).size();
     }
-    f.Pass(Milliseconds(60));
+    f.Advance(Milliseconds(60));
     f.actions.clear();
     f.Arrive("/chat/", "key-1", left);
     CHECK(Take<Dispatch>(f.actions).empty());
@@ -126,7 +126,7 @@
   }
   for (int i = 0; i < 20; ++i)
     f.Arrive("/chat/");
-  f.Pass(Milliseconds(200));
+  f.Advance(Milliseconds(200));
   const auto refused = Take<Refuse>(f.actions);
   REQUIRE(refused.size() == 20);
   std::set<Milliseconds> times;
--- a/Source/UnitTests/Core/Gateway/RequestLogTest.cpp
+++ b/Source/UnitTests/Core/Gateway/RequestLogTest.cpp
@@ -18,7 +18,7 @@
   {
     for (int i = 0; i < 40; ++i)
       f.Arrive("/chat/");
-    f.Pass(Milliseconds(100));
+    f.Advance(Milliseconds(100));
     const auto lines = log.Lines("request.refused");
     REQUIRE(!lines.empty());
     CHECK(lines[0]["reason"] == "queue_full");
@@ -47,7 +47,7 @@
     f.Arrive("/chat/");
     // A target that loads weights may be ready in time, so the request waits a little longer for
     // it.
-    f.Pass(Milliseconds(150));
+    f.Advance(Milliseconds(150));
     const auto lines = log.Lines("request.refused");
     REQUIRE(lines.size() == 1);
     CHECK(lines[0]["best_expected_ms"] == -1);
@@ -61,7 +61,7 @@
     f.gateway.OnWeightsNamed("m", {2, {f.now}}, f.now);
     f.now += Milliseconds(7700);
     f.Arrive("/chat/");
-    f.Pass(Milliseconds(100));
+    f.Advance(Milliseconds(100));
     const auto lines = log.Lines("request.refused");
     REQUIRE(lines.size() == 1);
     CHECK(lines[0]["old_weights"] == 2);
@@ -73,7 +73,7 @@
     switching.is_switching = true;
     f.gateway.OnTargetLoad(switching, f.now, &f.actions);
     f.Arrive("/chat/");
-    f.Pass(Milliseconds(150));
+    f.Advance(Milliseconds(150));
     const auto lines = log.Lines("request.refused");
     REQUIRE(lines.size() == 1);
     CHECK(lines[0]["switching"] == 1);
@@ -84,7 +84,7 @@
   {
     const RequestNumber number = f.Arrive("/draft/");
     const auto sent = Take<Dispatch>(f.actions);
-    f.Pass(Milliseconds(70));
+    f.Advance(Milliseconds(70));
     f.Feed(f.Began(number));
     f.Feed(AttemptFailed{number, AttemptFailure::Lost, EventId(3), AttemptEnd::ClosedEarly});
     const auto lines = log.Lines("request.cut");
@@ -188,7 +188,7 @@
   }
   SUBCASE("a request that the gateway cancels at its target before it begins is logged")
   {
-    f.Pass(Milliseconds(4800));
+    f.Advance(Milliseconds(4800));
     const auto lines = log.Lines("request.taken_back");
     REQUIRE(lines.size() == 1);
     CHECK(lines[0]["reason"] == "old_weights");
--- a/Source/UnitTests/Core/Gateway/WaitLimitTest.cpp
+++ b/Source/UnitTests/Core/Gateway/WaitLimitTest.cpp
@@ -17,24 +17,24 @@
   {
     survey.open = 1;
     survey.switching = 3;
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) == PASS);
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) == PASS);
     survey.open = 0;
     survey.avoided = 1;
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) == PASS);
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) == PASS);
   }
   SUBCASE("it waits longer while all targets load weights, but can still begin in time afterwards")
   {
     survey.switching = 4;
     survey.switching_room = 2;
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) > PASS);
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) < START_GOAL);
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) > PASS);
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) < START_GOAL);
   }
   SUBCASE("only as many requests wait as the targets that load weights can run afterwards")
   {
     survey.switching = 4;
     survey.switching_room = 2;
-    CHECK(WaitMost(survey, 2, PASS, START_GOAL) > PASS);
-    CHECK(WaitMost(survey, 3, PASS, START_GOAL) == Milliseconds(0));
+    CHECK(MaxWait(survey, 2, PASS, START_GOAL) > PASS);
+    CHECK(MaxWait(survey, 3, PASS, START_GOAL) == Milliseconds(0));
   }
   // A delayed push: 150 gateways wait for 1 target with 8 slots, out of 200 targets.
   SUBCASE(
@@ -44,21 +44,21 @@
     survey.old_weights = 199;
     survey.switching = 1;
     survey.switching_room = 8.0 / 150;
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) == Milliseconds(0));
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) == Milliseconds(0));
   }
   SUBCASE("it does not wait when nothing is about to change")
   {
     survey.old_weights = 3;
     survey.leaving = 1;
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) == Milliseconds(0));
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) == Milliseconds(0));
   }
   SUBCASE("it waits for one pass after a start, before any target or its load is known")
   {
     survey.listed = 0;
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) == PASS);
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) == PASS);
     survey.listed = 4;
     survey.unreported = 4;
-    CHECK(WaitMost(survey, 1, PASS, START_GOAL) == PASS);
+    CHECK(MaxWait(survey, 1, PASS, START_GOAL) == PASS);
   }
 }
 
