--- a/Source/Core/Gateway/DeadlineWatch.cpp
+++ b/Source/Core/Gateway/DeadlineWatch.cpp
@@ -10,11 +10,11 @@
 
 // Deadlines that differ by less count as equal: a caller measures its time from when it connects.
 static constexpr Milliseconds DEADLINE_TOLERANCE = Milliseconds(50);
-// Each request multiplies the weight of all earlier ones by this factor, so that about the last 100
-// requests count.
+// Each request multiplies the weights of all earlier requests of its route by this factor, so that
+// about the last 100 requests count.
 static constexpr double WEIGHT_DECAY_FACTOR = 0.99;
-// Deadlines with less weight are dropped. A single request reaches this weight after many later
-// ones.
+// Deadlines with less weight are dropped. The weight of a single request falls below this value
+// after about 300 later requests of the route.
 static constexpr double MIN_WEIGHT_REQUESTS = 0.05;
 // A deadline counts as the usual one of its route only with at least this weight, in requests.
 static constexpr double MIN_USUAL_WEIGHT_REQUESTS = 4;
--- a/Source/Core/Gateway/Gateway.cpp
+++ b/Source/Core/Gateway/Gateway.cpp
@@ -17,10 +17,11 @@
 using Common::TimePoint;
 using Common::Weight;
 
-// A short time, as another gateway can serve the request at once.
+// The time to retry is short, because another gateway can serve the request at once.
 static constexpr Milliseconds LEAVING_RETRY_AFTER = Milliseconds(50);
 static constexpr Milliseconds NOT_READY_RETRY_AFTER = Milliseconds(300);
-// The profile of engines whose times are not known. The first answers correct it.
+// The profile that is assumed for engines whose times are not known; the measured start times of
+// the first answers correct it.
 static constexpr Settings::EngineProfile ASSUMED_ENGINE = {
     .slots = 16,
     .step_ms = 8,
@@ -32,7 +33,7 @@
     .usual_prompt_tokens = 1000,
     .usual_answer_tokens = 100,
 };
-// The number in timers that do not belong to a request.
+// The request number in timers that do not belong to a request.
 static constexpr RequestNumber NO_REQUEST = 0;
 
 Gateway::Gateway(GatewayOptions options, Common::Metrics& metrics)
@@ -156,7 +157,7 @@
       organisation && organisation->priority ? *organisation->priority : route->priority;
   tracked.request = std::move(event.request);
   tracked.arrived = now;
-  tracked.first_tried =
+  tracked.first_attempt_at =
       tracked.request.deadline
           ? now - m_deadline_tracker.OnRequest(route->name, *tracked.request.deadline)
           : now;
@@ -255,14 +256,14 @@
   }
   ++tracked->runs;
   // Only the rest of the same event stream can continue an answer that was passed on in part.
-  const bool continues_nothing = tracked->was_head_passed && !event.is_event_stream;
-  const bool is_failure = event.status >= 500 || continues_nothing;
+  const bool cannot_continue = tracked->was_head_passed && !event.is_event_stream;
+  const bool is_failure = event.status >= 500 || cannot_continue;
   if (is_failure && MayRunAgain(*tracked) && QueueOf(tracked->service).retries.Take(now))
   {
     actions->push_back(CancelAttempt{tracked->number});
     return Retry(*tracked, "failure_answer", now, actions);
   }
-  if (continues_nothing)
+  if (cannot_continue)
   {
     actions->push_back(CancelAttempt{tracked->number});
     return GiveUp(*tracked, {ErrorKind::Unreachable, "the target did not continue the stream"}, now,
--- a/Source/Core/Gateway/Gateway.h
+++ b/Source/Core/Gateway/Gateway.h
@@ -103,21 +103,22 @@
   // The query of a request that is sent only if it can begin in time.
   TargetWish InTimeQueryFor(const Tracked& tracked, Common::TimePoint now) const;
   std::size_t WaitingCountOf(const std::string& service) const;
-  // The time after the caller's first attempt by which a request has to be expected to begin, so
-  // that the goal of its route is met.
+  // The maximum time from the caller's first attempt to the expected start of a request with which
+  // the goal of its route can be met.
   static Common::Duration StartGoal(const Tracked& tracked);
   // The maximum time from now until the start of a request that no target has run; a request that
   // would begin later is not sent.
   static Common::Duration MaxStartDelay(const Tracked& tracked, Common::TimePoint now);
-  // Whether the goal of the request is over already, because its caller retried too late.
+  // Whether the time of the route's goal has passed since the caller's first attempt. The request
+  // can then only be late, for example because its caller retried after that time.
   static bool IsPastGoal(const Tracked& tracked, Common::TimePoint now);
   bool TryDispatch(Tracked& tracked, Common::TimePoint now, Actions* actions);
   bool IsWorthSending(const Tracked& tracked, const TargetChoice& choice,
                       Common::TimePoint now) const;
   // Reports to the target's agent which work this gateway has at the target now.
   void ReportWork(const TargetId& id, Actions* actions) const;
-  // The switch deadlines of the service's model: which version requests have to start with, and
-  // from when on.
+  // The switch deadlines of the service's model: the versions that requests have to start with, and
+  // the time from which on each of them is required.
   const std::vector<WeightsBound>& SwitchDeadlinesFor(const std::string& service) const;
   // The model whose weights the service's targets load; empty for a plain service (without a
   // model).
@@ -145,7 +146,7 @@
   void MoveFromSwitchingTarget(const TargetId& target, Common::TimePoint now, Actions* actions);
   // Logs an answer that began with weights that a newer named version replaces.
   void LogIfOldWeights(const Tracked& tracked, std::uint64_t version, Common::TimePoint now);
-  // Whether the target may begin the request with weights after the switch deadline of a newer
+  // Whether the target may begin the request with old weights after the switch deadline of a newer
   // version.
   bool MayStartWithOldWeights(const Tracked& tracked, Common::TimePoint now) const;
   // Moves requests that have not begun away from targets whose weights reach the switch deadline of
@@ -158,8 +159,8 @@
   // resend others, so the caller looks each one up again.
   std::vector<RequestNumber>
   SentRequestsWhere(const std::function<bool(const Tracked&)>& condition) const;
-  // Cancels requests that have not begun at their targets, and moves them to other targets or gives
-  // them up.
+  // Cancels these requests, which their targets have not begun; moves each one to another target,
+  // or gives it up.
   void CancelAtTargets(const std::vector<RequestNumber>& requests, Common::TimePoint now,
                        Actions* actions);
   void MoveIfOverdue(Tracked& tracked, Common::TimePoint now, Actions* actions);
--- a/Source/Core/Gateway/GatewayDispatch.cpp
+++ b/Source/Core/Gateway/GatewayDispatch.cpp
@@ -12,9 +12,9 @@
 
 // The share of a route's goal that may pass until the expected start of a request.
 static constexpr double START_GOAL_SHARE = 0.7;
-// A request whose goal is over is sent only if it can begin within this share of the time that
-// other requests have. In lasting overload it would otherwise displace a request that can still
-// meet its goal, and both would be late.
+// A request that can no longer meet its goal is sent only if it can begin within this share of the
+// start time that other requests have. In lasting overload it would otherwise displace a request
+// that can still meet its goal, and both would be late.
 static constexpr double PAST_GOAL_START_SHARE = 0.85;
 // A request may be moved if its answer has not begun after twice the expected time plus this
 // margin.
@@ -65,23 +65,24 @@
   // error.
   if (tracked.runs > 0)
     return choice.expected_start <= (tracked.deadline - now) / 2;
-  // A request for a free slot of a plain service (without a model) delays no other request.
-  const bool delays_no_other = !tracked.request.generation || !IsPastGoal(tracked, now);
-  if (choice.has_free_slot && delays_no_other)
+  // In a plain service (without a model), a request that takes a free slot delays no other request,
+  // even if it can no longer meet its goal.
+  const bool may_use_free_slot = !tracked.request.generation || !IsPastGoal(tracked, now);
+  if (choice.has_free_slot && may_use_free_slot)
     return true;
   return choice.expected_start <= MaxStartDelay(tracked, now);
 }
 
 bool Gateway::IsPastGoal(const Tracked& tracked, TimePoint now)
 {
-  return now - tracked.first_tried >= tracked.route.goal;
+  return now - tracked.first_attempt_at >= tracked.route.goal;
 }
 
 Duration Gateway::MaxStartDelay(const Tracked& tracked, TimePoint now)
 {
   if (IsPastGoal(tracked, now))
     return std::chrono::duration_cast<Duration>(PAST_GOAL_START_SHARE * StartGoal(tracked));
-  return std::max(StartGoal(tracked) - (now - tracked.first_tried), Duration(1));
+  return std::max(StartGoal(tracked) - (now - tracked.first_attempt_at), Duration(1));
 }
 
 TargetWish Gateway::QueryFor(const Tracked& tracked) const
--- a/Source/Core/Gateway/GatewayRefusals.cpp
+++ b/Source/Core/Gateway/GatewayRefusals.cpp
@@ -27,8 +27,9 @@
   actions->push_back(Refuse{event.number, std::move(error)});
 }
 
-// After this time a full target has ended about all requests that it runs now. The times are spread
-// out by the request id; otherwise callers that were refused together would retry together.
+// Returns the time after which the caller may retry. By then a full target has ended about all
+// requests that it runs now. The times are spread out by the request id; otherwise callers that
+// were refused together would retry together.
 Milliseconds Gateway::RetryAfterFor(const Tracked& tracked) const
 {
   const Duration turnover = m_targets.TurnoverOf(tracked.service);
@@ -59,9 +60,9 @@
   }
   else
   {
-    const Common::ErrorAnswer& row = Common::AnswerFor(error.kind);
+    const Common::ErrorAnswer& answer = Common::AnswerFor(error.kind);
     // The outcome "not run" would be wrong once a target may have run the request.
-    if (row.outcome == Common::Outcome::NotRun && tracked.runs > 0)
+    if (answer.outcome == Common::Outcome::NotRun && tracked.runs > 0)
       error = {ErrorKind::Unreachable, error.message};
     if (Common::AnswerFor(error.kind).outcome == Common::Outcome::NotRun)
       error.retry_after = RetryAfterFor(tracked);
--- a/Source/Core/Gateway/GatewayRetries.cpp
+++ b/Source/Core/Gateway/GatewayRetries.cpp
@@ -17,8 +17,8 @@
 static constexpr std::uint32_t MAX_SENDS = 4;
 // The maximum wait for another target if the first one was lost before the answer began.
 static constexpr Duration MAX_RETRY_WAIT = Milliseconds(300);
-// The maximum wait for another target if a stream broke. A caller waits about as long for the next
-// event.
+// The maximum wait for another target if a stream broke. Callers wait for about this time for the
+// next event.
 static constexpr Duration MAX_RESUME_WAIT = Milliseconds(1200);
 
 bool Gateway::MayRunAgain(const Tracked& tracked) const
@@ -56,7 +56,7 @@
   // target.
   if (!may_have_run)
     return EnqueueNotRun(tracked, true, now, actions);
-  // A request that may have run elsewhere keeps its previous time limit for finding a target.
+  // A request that may have run elsewhere keeps its previous time limit for finding another target.
   tracked.refuse_at = std::min(tracked.deadline, std::max(tracked.refuse_at, now));
   Enqueue(tracked, true, now, actions);
 }
@@ -65,7 +65,7 @@
 {
   const std::uint64_t weights = m_targets.WeightsAt(tracked.target);
   // The cancellation has to reach the target before the switch deadline.
-  const Duration network_delay = std::min(m_targets.WayTo(tracked.target), MAX_TARGET_DELAY);
+  const Duration network_delay = std::min(m_targets.WayTo(tracked.target), MAX_NETWORK_DELAY);
   // The switch only helps if the target switches to a version that is new enough; otherwise it
   // would begin the request with that older version.
   return std::ranges::any_of(
--- a/Source/Core/Gateway/Messages.h
+++ b/Source/Core/Gateway/Messages.h
@@ -64,11 +64,11 @@
   int status = 0;
   // The whole answer is buffered, so that it cannot break off any more.
   bool is_whole = false;
-  // The target answered that it did not run the request.
+  // The target answers that it did not run the request.
   bool is_not_run = false;
   // Another target has taken over the address of the chosen target.
   bool is_other_target = false;
-  // The body of the answer is an event stream with a success status.
+  // The answer has a success status, and its body is an event stream.
   bool is_event_stream = false;
   // The version of weights that the answer began with; 0 if the target does not report it.
   std::uint64_t weights_version = 0;
--- a/Source/Core/Gateway/RouteTable.cpp
+++ b/Source/Core/Gateway/RouteTable.cpp
@@ -48,7 +48,7 @@
   return found == m_by_credential.end() ? nullptr : &m_organisations[found->second];
 }
 
-const std::string& RouteTable::ServiceFor(const Route& route, std::uint64_t draw)
+const std::string& RouteTable::ServiceFor(const Route& route, std::uint64_t request_hash)
 {
   static const std::string NONE;
   if (route.services.empty())
@@ -58,7 +58,7 @@
     total += service.weight;
   if (total == 0)
     return route.services.front().service;
-  std::uint64_t rest = draw % total;
+  std::uint64_t rest = request_hash % total;
   for (const Settings::WeightedService& service : route.services)
   {
     if (rest < service.weight)
--- a/Source/Core/Gateway/RouteTable.h
+++ b/Source/Core/Gateway/RouteTable.h
@@ -25,9 +25,9 @@
   // Returns null if the credential belongs to no organisation.
   const Settings::OrganisationSettings* FindOrganisation(const std::string& credential) const;
   bool HasOrganisations() const { return !m_organisations.empty(); }
-  // Returns the service for a request of the route. `draw` selects one of several services by
-  // weight.
-  static const std::string& ServiceFor(const Settings::Route& route, std::uint64_t draw);
+  // Returns the service for a request of the route. If the route has several services,
+  // `request_hash` selects one of them in proportion to their weights.
+  static const std::string& ServiceFor(const Settings::Route& route, std::uint64_t request_hash);
 
 private:
   // The routes of each host; the longest prefix is first.
--- a/Source/Core/Gateway/TrackedRequest.h
+++ b/Source/Core/Gateway/TrackedRequest.h
@@ -41,12 +41,13 @@
   std::string organisation;
   int priority = 0;
   Common::TimePoint arrived{};
-  // The caller's first attempt, as estimated from the deadline. The goal counts from this time.
-  Common::TimePoint first_tried{};
+  // The time of the caller's first attempt, estimated from the deadline. The goal of the route is
+  // measured from this time.
+  Common::TimePoint first_attempt_at{};
   // The time at which the head of an answer was passed on to the caller.
   Common::TimePoint answer_passed_at{};
   Common::TimePoint deadline{};
-  // A request that no target can begin is refused at this time.
+  // If no target can begin the request by this time, it is refused.
   Common::TimePoint refuse_at{};
   // If the target has not begun to answer at this time, the request may move to another target.
   Common::TimePoint move_at{};
--- a/Source/Core/Gateway/WaitLimit.cpp
+++ b/Source/Core/Gateway/WaitLimit.cpp
@@ -6,9 +6,9 @@
 using Common::Duration;
 using Common::ErrorKind;
 
-// Divisor of the time in which a request has to begin: a request waits for targets that load
-// weights only for that fraction of it. A request that arrives late in the loading can still begin
-// in time.
+// While targets load weights, a request waits at most for the time in which it has to begin,
+// divided by this number. The wait helps a request that arrives near the end of the loading, as it
+// can still begin in time.
 static constexpr int LOADING_WAIT_DIVISOR = 2;
 
 static bool HasUsableTargets(const TargetSurvey& survey)
@@ -19,8 +19,8 @@
 Duration MaxWait(const TargetSurvey& survey, std::size_t waiting, Duration pass,
                  Duration start_goal)
 {
-  // A request that gets no target within a pass meets lasting overload: a longer wait would only
-  // delay the refusal.
+  // If a request gets no target within a pass, the overload is lasting, and a longer wait would
+  // only delay the refusal.
   if (HasUsableTargets(survey))
     return pass;
   // Only as many requests wait as the targets that load weights can run afterwards. If only 1 of
--- a/Source/Core/Gateway/WeightsBounds.cpp
+++ b/Source/Core/Gateway/WeightsBounds.cpp
@@ -13,11 +13,12 @@
 using Common::TimePoint;
 using Common::Weight;
 
-// Switch deadlines are earlier by this margin, because other processes may have learned of a new
-// version a little earlier.
+// The gateway's switch deadlines are this much earlier than the real ones, because other processes
+// may have learned of a new version a little earlier.
 static constexpr Duration SWITCH_MARGIN = Milliseconds(250);
 // Time after the switch deadline, or after the gateway learns of it, in which the gateway looks for
-// requests with old weights. The kept deadline is before the real one by the margin above.
+// requests that may begin with old weights. It is longer than SWITCH_MARGIN, by which the gateway's
+// deadline is before the real one.
 static constexpr Duration SWEEP_PERIOD = Milliseconds(500);
 // The maximum number of versions of a model whose switch deadlines are kept.
 static constexpr std::size_t MAX_DEADLINES_PER_MODEL = 4;
@@ -27,9 +28,10 @@
                                                          TimePoint now)
 {
   std::vector<WeightsBound>& deadlines = m_deadlines[model];
-  const auto place = std::ranges::lower_bound(deadlines, known.version, {}, &WeightsBound::version);
-  const bool is_known = place != deadlines.end() && place->version == known.version;
-  if (is_known && !known.since.Replaces(place->since))
+  const auto position =
+      std::ranges::lower_bound(deadlines, known.version, {}, &WeightsBound::version);
+  const bool is_known = position != deadlines.end() && position->version == known.version;
+  if (is_known && !known.since.Replaces(position->since))
     return std::nullopt;
   const TimePoint due = known.since.time + m_switch_within - SWITCH_MARGIN;
   LogEvent(Weight::Important, now, "weights.named", "model", model, "version", known.version,
@@ -38,9 +40,9 @@
   const WeightsBound switch_deadline{known.version, due, known.since,
                                      std::max(due, now) + SWEEP_PERIOD};
   if (is_known)
-    *place = switch_deadline;
+    *position = switch_deadline;
   else
-    deadlines.insert(place, switch_deadline);
+    deadlines.insert(position, switch_deadline);
   if (deadlines.size() > MAX_DEADLINES_PER_MODEL)
     deadlines.erase(deadlines.begin());
   return due;
@@ -81,7 +83,7 @@
 bool SwitchDeadlines::IsAnyDue(TimePoint now) const
 {
   const auto is_due = [now](const WeightsBound& switch_deadline)
-  { return now >= switch_deadline.due - MAX_TARGET_DELAY && now < switch_deadline.sweep_until; };
+  { return now >= switch_deadline.due - MAX_NETWORK_DELAY && now < switch_deadline.sweep_until; };
   return std::ranges::any_of(m_deadlines, [&](const auto& entry)
                              { return std::ranges::any_of(entry.second, is_due); });
 }
--- a/Source/Core/Gateway/WeightsBounds.h
+++ b/Source/Core/Gateway/WeightsBounds.h
@@ -31,8 +31,8 @@
   // there is none.
   std::optional<WeightsBound> EarliestReplacing(const std::string& model,
                                                 std::uint64_t version) const;
-  // The time until all targets have to use the version; negative after that. The field `due` is
-  // earlier by a margin.
+  // The time until all targets have to use the version; negative after that. The field `due` is a
+  // margin earlier than the time at which they have to use it.
   static Common::Duration TimeLeft(const WeightsBound& switch_deadline, Common::TimePoint now);
   // Whether, for any model, the switch deadline of a version newer than this one has passed.
   bool IsOverdue(std::uint64_t version, Common::TimePoint now) const;
@@ -44,7 +44,7 @@
   std::map<std::string, std::vector<WeightsBound>> m_deadlines; // by model
 };
 
-// Requests are cancelled earlier at targets behind a slow link, by the network delay to the target,
-// but at most by this time.
-constexpr Common::Duration MAX_TARGET_DELAY = Common::Milliseconds(1500);
+// Requests at a target are cancelled before the switch deadline by the network delay to the target,
+// so that the cancellation arrives in time, but by at most this time.
+constexpr Common::Duration MAX_NETWORK_DELAY = Common::Milliseconds(1500);
 } // namespace Holdpost::Gateway
--- a/Source/UnitTests/Core/Gateway/GatewayMovesTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayMovesTest.cpp
@@ -163,7 +163,7 @@
     Fixture f;
     CheckGivenUpAtSwitchDeadline(f, "/draft/");
   }
-  SUBCASE("no retry is left")
+  SUBCASE("the retry allowance is used up")
   {
     Fixture f({Milliseconds(10000), 0, 0});
     CheckGivenUpAtSwitchDeadline(f, "/chat/");
--- a/Source/UnitTests/Core/Gateway/GatewayTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayTest.cpp
@@ -233,7 +233,7 @@
   CHECK(f.gateway.OpenRequests() == 0);
 }
 
-TEST_CASE("A target whose address now belongs to another target gets nothing more")
+TEST_CASE("A target whose address now belongs to another target gets no more requests")
 {
   Fixture f;
   const RequestNumber number = f.Arrive("/status/");
@@ -244,7 +244,7 @@
   f.Feed(f.Began(number));
   f.Feed(AnswerEnded{number});
   SUBCASE("right after the answer of the other target") {}
-  SUBCASE("while its record stays on the target list")
+  SUBCASE("while the record of the replaced target stays on the target list")
   {
     f.listed.push_back(MakeTarget("desk-3", "desk"));
     f.SetTargets(f.listed);
--- a/Source/UnitTests/Core/Gateway/RequestLogTest.cpp
+++ b/Source/UnitTests/Core/Gateway/RequestLogTest.cpp
@@ -66,7 +66,7 @@
     REQUIRE(lines.size() == 1);
     CHECK(lines[0]["old_weights"] == 2);
   }
-  SUBCASE("refused after a start: the number of targets of which nothing was reported")
+  SUBCASE("refused after a start: the number of targets without a load report")
   {
     TargetLoad switching;
     switching.address = f.listed.at(0).address;
@@ -197,7 +197,7 @@
   }
 }
 
-TEST_CASE("Each change that a gateway learns of targets and gateways is logged once")
+TEST_CASE("Each change of targets or gateways is logged once when the gateway learns of it")
 {
   LogCapture log;
   GatewayFixture f;
--- a/Source/UnitTests/Core/Gateway/RetryAllowanceTest.cpp
+++ b/Source/UnitTests/Core/Gateway/RetryAllowanceTest.cpp
@@ -50,7 +50,7 @@
 
 TEST_CASE("All gateways together stay within the limits in any window")
 {
-  // Each gateway has a share of the requests of its own, and the shares are uneven.
+  // The gateways get different shares of the requests.
   constexpr int GATEWAYS = 7;
   constexpr double RATIO = 0.2;
   constexpr double EXTRA = 102;
