--- a/Source/Core/Gateway/DeadlineWatch.cpp
+++ b/Source/Core/Gateway/DeadlineWatch.cpp
@@ -8,7 +8,8 @@
 using Common::Duration;
 using Common::Milliseconds;
 
-// Deadlines that differ by less count as equal: a caller measures its time from when it connects.
+// Deadlines that differ by less than this count as equal, because a caller measures its time from
+// the moment at which it connects.
 static constexpr Milliseconds DEADLINE_TOLERANCE = Milliseconds(50);
 // Each request multiplies the weights of all earlier requests of its route by this factor, so that
 // about the last 100 requests count.
--- a/Source/Core/Gateway/WeightsBounds.h
+++ b/Source/Core/Gateway/WeightsBounds.h
@@ -9,8 +9,8 @@
 #include "Common/Types.h"
 #include "Core/Gateway/TargetTable.h"
 
-// Keeps the switch deadlines of each model: the time from which on requests have to start with a
-// version of its weights.
+// Keeps the switch deadlines of each model. From the switch deadline of a version on, requests have
+// to start with this version of the model's weights or a newer one.
 namespace Holdpost::Gateway
 {
 class SwitchDeadlines
--- a/Source/UnitTests/Core/Gateway/GatewayFixture.h
+++ b/Source/UnitTests/Core/Gateway/GatewayFixture.h
@@ -93,15 +93,15 @@
                        std::optional<Milliseconds> deadline = std::nullopt)
   {
     CallerRequest request;
-    request.id = "r" + std::to_string(++last);
+    request.id = "r" + std::to_string(++last_number);
     request.host = "api.example";
     request.path = path;
     request.credential = credential;
     request.deadline = deadline;
     if (path.starts_with("/chat/") || path.starts_with("/draft/"))
       request.generation = GenerationHint{"m", 1000, 100, 100};
-    gateway.Handle(RequestArrived{last, request}, now, &actions);
-    return last;
+    gateway.Handle(RequestArrived{last_number, request}, now, &actions);
+    return last_number;
   }
   template <typename Event>
   void Feed(Event event)
@@ -123,6 +123,6 @@
   std::vector<ListedTarget> listed;
   Common::TimePoint now = START;
   Actions actions;
-  RequestNumber last = 0;
+  RequestNumber last_number = 0;
 };
 } // namespace Holdpost::Gateway
--- a/Source/UnitTests/Core/Gateway/GatewayMovesTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayMovesTest.cpp
@@ -100,7 +100,7 @@
   f.Advance(Milliseconds(1700));
   load(f.listed[1], 2, 2);
   CHECK(Testing::Only<CancelAttempt>(f.actions).empty());
-  // 250 ms before the weights have to be replaced.
+  // The request is moved 250 ms before the time by which the weights have to be replaced.
   f.Advance(Milliseconds(60));
   CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
   const auto again = Take<Dispatch>(f.actions);
@@ -151,7 +151,7 @@
   CHECK(Testing::Only<CancelAttempt>(f.actions).size() == 1);
   const auto refused = Take<Refuse>(f.actions);
   REQUIRE(refused.size() == 1);
-  CHECK(refused[0].number == f.last);
+  CHECK(refused[0].number == f.last_number);
   CHECK(Common::AnswerFor(refused[0].error.kind).http_status == 502);
 }
 } // namespace
