--- a/Source/UnitTests/Core/Gateway/GatewayTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayTest.cpp
@@ -233,7 +233,7 @@
   CHECK(f.gateway.OpenRequests() == 0);
 }
 
-TEST_CASE("A target whose address now belongs to another target gets no more requests")
+TEST_CASE("A target whose address now belongs to another target gets nothing more")
 {
   Fixture f;
   const RequestNumber number = f.Arrive("/status/");
--- a/Source/UnitTests/Core/Gateway/RequestLogTest.cpp
+++ b/Source/UnitTests/Core/Gateway/RequestLogTest.cpp
@@ -66,7 +66,7 @@
     REQUIRE(lines.size() == 1);
     CHECK(lines[0]["old_weights"] == 2);
   }
-  SUBCASE("refused after a start: the number of targets without a load report")
+  SUBCASE("refused after a start: the number of targets of which nothing was reported")
   {
     TargetLoad switching;
     switching.address = f.listed.at(0).address;
--- a/Source/UnitTests/Core/Gateway/WaitLimitTest.cpp
+++ b/Source/UnitTests/Core/Gateway/WaitLimitTest.cpp
@@ -46,7 +46,7 @@
     survey.switching_room = 8.0 / 150;
     CHECK(MaxWait(survey, 1, PASS, START_GOAL) == Milliseconds(0));
   }
-  SUBCASE("it does not wait when no capacity is about to become free")
+  SUBCASE("it does not wait when nothing is about to change")
   {
     survey.old_weights = 3;
     survey.leaving = 1;
