--- a/Source/Core/Gateway/GatewayDispatch.cpp
+++ b/Source/Core/Gateway/GatewayDispatch.cpp
@@ -3,22 +3,24 @@
 
 #include <algorithm>
 
-// How waiting requests are sent to targets.
+// The part of the gateway that sends waiting requests to targets.
 namespace Holdpost::Gateway
 {
 using Common::Duration;
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// Part of the goal that the expected start may use up.
-static constexpr double GOAL_SHARE = 0.7;
-// A request that can only be late is sent if it can begin within this part of what others have: in
-// lasting overload it would take the place of one that can be in time, and that one would be late.
-static constexpr double LATE_SHARE = 0.85;
-// A request whose answer has not begun after twice the expected time and this may be moved.
+// The share of a route's goal that may pass until the expected start of a request.
+static constexpr double START_GOAL_SHARE = 0.7;
+// A request that can no longer meet its goal is sent only if it can begin within this share of the
+// start time that other requests have. In lasting overload it would otherwise displace a request
+// that can still meet its goal, and both would be late.
+static constexpr double PAST_GOAL_START_SHARE = 0.85;
+// A request may be moved if its answer has not begun after twice the expected time plus this
+// margin.
 static constexpr Duration MOVE_MARGIN = Milliseconds(300);
 
-void Gateway::Pump(const std::string& service, TimePoint now, Actions* actions)
+void Gateway::DispatchWaiting(const std::string& service, TimePoint now, Actions* actions)
 {
   for (auto& [priority, queue] : m_queues[service].waiting)
   {
@@ -44,56 +46,58 @@
   return NONE;
 }
 
-const std::vector<WeightsBound>& Gateway::WeightsFor(const std::string& service) const
+const std::vector<WeightsBound>& Gateway::SwitchDeadlinesFor(const std::string& service) const
 {
-  return m_weights.Of(ModelOf(service));
+  return m_switch_deadlines.DeadlinesOf(ModelOf(service));
 }
 
 Duration Gateway::StartGoal(const Tracked& tracked)
 {
-  return std::chrono::duration_cast<Duration>(GOAL_SHARE * tracked.route.goal);
+  return std::chrono::duration_cast<Duration>(START_GOAL_SHARE * tracked.route.goal);
 }
 
 bool Gateway::IsWorthSending(const Tracked& tracked, const TargetChoice& choice,
                              TimePoint now) const
 {
-  if (tracked.was_passed)
+  if (tracked.was_head_passed)
     return true;
-  // One that may have run cannot be refused as not run: late is better than an error.
+  // A request that may have run cannot be refused as "not run", and a late answer is better than an
+  // error.
   if (tracked.runs > 0)
     return choice.expected_start <= (tracked.deadline - now) / 2;
-  // A free slot of a plain service costs nobody else anything.
-  const bool takes_from_none = !tracked.request.generation || !IsLate(tracked, now);
-  if (choice.has_free_slot && takes_from_none)
+  // In a plain service (without a model), a request that takes a free slot delays no other request,
+  // even if it can no longer meet its goal.
+  const bool may_use_free_slot = !tracked.request.generation || !IsPastGoal(tracked, now);
+  if (choice.has_free_slot && may_use_free_slot)
     return true;
-  return choice.expected_start <= StartMost(tracked, now);
+  return choice.expected_start <= MaxStartDelay(tracked, now);
 }
 
-bool Gateway::IsLate(const Tracked& tracked, TimePoint now)
+bool Gateway::IsPastGoal(const Tracked& tracked, TimePoint now)
 {
-  return now - tracked.first_tried >= tracked.route.goal;
+  return now - tracked.first_attempt_at >= tracked.route.goal;
 }
 
-Duration Gateway::StartMost(const Tracked& tracked, TimePoint now)
+Duration Gateway::MaxStartDelay(const Tracked& tracked, TimePoint now)
 {
-  if (IsLate(tracked, now))
-    return std::chrono::duration_cast<Duration>(LATE_SHARE * StartGoal(tracked));
-  return std::max(StartGoal(tracked) - (now - tracked.first_tried), Duration(1));
+  if (IsPastGoal(tracked, now))
+    return std::chrono::duration_cast<Duration>(PAST_GOAL_START_SHARE * StartGoal(tracked));
+  return std::max(StartGoal(tracked) - (now - tracked.first_attempt_at), Duration(1));
 }
 
-TargetWish Gateway::WishOf(const Tracked& tracked) const
+TargetWish Gateway::QueryFor(const Tracked& tracked) const
 {
   const std::optional<GenerationHint>& generation = tracked.request.generation;
-  TargetWish wish;
-  wish.service = tracked.service;
-  wish.prompt_tokens = tracked.PromptTokens();
-  wish.answer_tokens = generation ? generation->answer_tokens_guess : 0;
-  wish.tried = tracked.tried;
-  wish.weights = WeightsFor(tracked.service);
-  return wish;
+  TargetWish query;
+  query.service = tracked.service;
+  query.prompt_tokens = tracked.PromptTokens();
+  query.answer_tokens = generation ? generation->answer_tokens_guess : 0;
+  query.tried = tracked.tried;
+  query.weights = SwitchDeadlinesFor(tracked.service);
+  return query;
 }
 
-std::size_t Gateway::WaitingFor(const std::string& service) const
+std::size_t Gateway::WaitingCountOf(const std::string& service) const
 {
   const auto queue = m_queues.find(service);
   if (queue == m_queues.end())
@@ -104,17 +108,17 @@
   return count;
 }
 
-TargetWish Gateway::WishInTime(const Tracked& tracked, TimePoint now) const
+TargetWish Gateway::InTimeQueryFor(const Tracked& tracked, TimePoint now) const
 {
-  TargetWish wish = WishOf(tracked);
-  wish.waiting = WaitingFor(tracked.service);
-  const bool may_be_refused = tracked.runs == 0 && !tracked.was_passed;
+  TargetWish query = QueryFor(tracked);
+  query.waiting = WaitingCountOf(tracked.service);
+  const bool may_be_refused = tracked.runs == 0 && !tracked.was_head_passed;
   if (may_be_refused)
-    wish.start_most = StartMost(tracked, now);
-  return wish;
+    query.start_most = MaxStartDelay(tracked, now);
+  return query;
 }
 
-void Gateway::TellWork(const TargetId& id, Actions* actions) const
+void Gateway::ReportWork(const TargetId& id, Actions* actions) const
 {
   if (const auto agent = m_targets.AgentOf(id))
     actions->push_back(TellAgent{*agent, m_targets.OwnWorkAt(id)});
@@ -122,8 +126,8 @@
 
 bool Gateway::TryDispatch(Tracked& tracked, TimePoint now, Actions* actions)
 {
-  const TargetWish wish = WishInTime(tracked, now);
-  const auto choice = m_targets.Choose(wish, now);
+  const TargetWish query = InTimeQueryFor(tracked, now);
+  const auto choice = m_targets.Choose(query, now);
   if (!choice || !IsWorthSending(tracked, *choice, now))
     return false;
   tracked.state = State::Sent;
@@ -132,7 +136,7 @@
   tracked.tried.insert(choice->id);
   ++tracked.sends;
   tracked.has_started = false;
-  m_targets.OnDispatched(choice->id, tracked.number, wish.prompt_tokens, choice->expected_start,
+  m_targets.OnDispatched(choice->id, tracked.number, query.prompt_tokens, choice->expected_start,
                          now);
   tracked.move_at = now + 2 * choice->expected_start + MOVE_MARGIN;
   m_timers.push({tracked.move_at, tracked.number});
@@ -149,21 +153,21 @@
   dispatch.is_stream = tracked.route.is_stream;
   dispatch.may_repeat = tracked.route.repetition == Settings::Repetition::Idempotent;
   actions->push_back(std::move(dispatch));
-  TellWork(choice->id, actions);
+  ReportWork(choice->id, actions);
   return true;
 }
 
-void Gateway::LeaveTarget(Tracked& tracked, Actions* actions)
+void Gateway::ReleaseTarget(Tracked& tracked, Actions* actions)
 {
   if (tracked.target.empty())
     return;
   const std::uint32_t unread_tokens = tracked.has_started ? 0 : tracked.PromptTokens();
-  m_targets.OnEnded(LivingTarget(tracked), tracked.number, unread_tokens);
-  TellWork(tracked.target, actions);
+  m_targets.OnEnded(TargetInSameIncarnation(tracked), tracked.number, unread_tokens);
+  ReportWork(tracked.target, actions);
   tracked.target.clear();
 }
 
-TargetId Gateway::LivingTarget(const Tracked& tracked) const
+TargetId Gateway::TargetInSameIncarnation(const Tracked& tracked) const
 {
   if (!tracked.last_attempt ||
       !m_targets.IsSameIncarnation(tracked.target, tracked.last_attempt->choice.incarnation))
--- a/Source/Core/Gateway/StopPlan.h
+++ b/Source/Core/Gateway/StopPlan.h
@@ -5,14 +5,14 @@
 
 #include "Common/Types.h"
 
-// The steps of a planned stop: callers are told by the ready check first, then new requests are
-// refused, and the process ends when the last answer is out or its time is over.
+// The phases of a planned stop. First the ready check fails, so that callers learn of the stop;
+// then new requests are refused; the process ends when the last answer is sent or its time is over.
 namespace Holdpost::Gateway
 {
 enum class StopPhase
 {
   Serving,
-  // Not ready, but requests that still come are served.
+  // The ready check fails, but requests that still arrive are served.
   Leaving,
   // New requests are refused, and idle connections are closed.
   Draining,
@@ -22,36 +22,36 @@
 class StopPlan
 {
 public:
-  // `within`: the process is killed so long after it was asked to stop.
-  explicit StopPlan(Common::Duration within) : m_within(within) {}
+  // `within` is the time between the request to stop and the forced kill of the process.
+  explicit StopPlan(Common::Duration within) : m_stop_within(within) {}
 
-  void SetWithin(Common::Duration within) { m_within = within; }
-  // A second demand changes nothing.
+  void SetWithin(Common::Duration within) { m_stop_within = within; }
+  // Records the request to stop; a second request changes nothing.
   void Ask(Common::TimePoint now)
   {
-    if (!m_asked)
-      m_asked = now;
+    if (!m_stop_requested_at)
+      m_stop_requested_at = now;
   }
-  bool IsAsked() const { return m_asked.has_value(); }
+  bool IsAsked() const { return m_stop_requested_at.has_value(); }
   StopPhase PhaseAt(Common::TimePoint now, std::size_t open_requests) const
   {
-    if (!m_asked)
+    if (!m_stop_requested_at)
       return StopPhase::Serving;
-    const Common::Duration elapsed = now - *m_asked;
-    if (elapsed >= m_within - END_MARGIN)
+    const Common::Duration elapsed = now - *m_stop_requested_at;
+    if (elapsed >= m_stop_within - END_MARGIN)
       return StopPhase::Ended;
-    if (elapsed < TAKES_FOR)
+    if (elapsed < ACCEPT_PERIOD)
       return StopPhase::Leaving;
     return open_requests == 0 ? StopPhase::Ended : StopPhase::Draining;
   }
 
 private:
-  // Callers need this long to see that the process is not ready, and what is taken by then still
-  // has most of the time to end.
-  static constexpr Common::Milliseconds TAKES_FOR = Common::Milliseconds(2800);
+  // Time in which new requests are still accepted: callers need it to see that the ready check
+  // fails, and a request that is accepted in it still has most of the stop time to end.
+  static constexpr Common::Milliseconds ACCEPT_PERIOD = Common::Milliseconds(2800);
   static constexpr Common::Milliseconds END_MARGIN = Common::Milliseconds(300);
 
-  Common::Duration m_within;
-  std::optional<Common::TimePoint> m_asked;
+  Common::Duration m_stop_within;
+  std::optional<Common::TimePoint> m_stop_requested_at;
 };
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/WaitLimit.cpp
+++ b/Source/Core/Gateway/WaitLimit.cpp
@@ -6,37 +6,39 @@
 using Common::Duration;
 using Common::ErrorKind;
 
-// Of the time in which a request has to begin. Who comes late in a target's loading can still be in
-// time.
-static constexpr int LOADING_SHARE = 2;
+// While targets load weights, a request waits at most for the time in which it has to begin,
+// divided by this number. The wait helps a request that arrives near the end of the loading, as it
+// can still begin in time.
+static constexpr int LOADING_WAIT_DIVISOR = 2;
 
-static bool IsCrowded(const TargetSurvey& survey)
+static bool HasUsableTargets(const TargetSurvey& survey)
 {
   return survey.open > 0 || survey.avoided > 0;
 }
 
-Duration WaitMost(const TargetSurvey& survey, std::size_t waiting, Duration pass,
-                  Duration start_goal)
+Duration MaxWait(const TargetSurvey& survey, std::size_t waiting, Duration pass,
+                 Duration start_goal)
 {
-  // Whoever gets nothing within a pass is up against lasting overload: waiting on would only make
-  // the refusal later.
-  if (IsCrowded(survey))
+  // If a request gets no target within a pass, the overload is lasting, and a longer wait would
+  // only delay the refusal.
+  if (HasUsableTargets(survey))
     return pass;
-  // No more wait than the targets that load weights can run once they have them: with one of 200
-  // that loads, all others would wait for nothing.
+  // Only as many requests wait as the targets that load weights can run afterwards. If only 1 of
+  // 200 targets loads weights, all other requests would wait in vain.
   if (survey.switching > 0 && static_cast<double>(waiting) <= survey.switching_room)
-    return start_goal / LOADING_SHARE;
-  // A gateway that has just started is told of targets, and of their loads, within moments.
+    return start_goal / LOADING_WAIT_DIVISOR;
+  // A gateway that has just started receives the target list and the load reports within moments.
   if (survey.listed == 0 || survey.unreported > 0)
     return pass;
-  // All have weights that are too old, or none, or are leaving: nothing is about to change.
+  // All targets have weights that are too old, have no weights, or are leaving: no capacity is
+  // about to become free.
   return Duration::zero();
 }
 
 ErrorKind RefusalReason(const TargetSurvey& survey)
 {
-  const bool lacks_weights =
-      survey.switching + survey.old_weights + survey.without_weights > 0 && !IsCrowded(survey);
+  const bool lacks_weights = survey.switching + survey.old_weights + survey.without_weights > 0 &&
+                             !HasUsableTargets(survey);
   return lacks_weights ? ErrorKind::NoWeights : ErrorKind::QueueFull;
 }
 } // namespace Holdpost::Gateway
