--- a/Source/Core/Control/AnswerPacing.h
+++ b/Source/Core/Control/AnswerPacing.h
@@ -6,14 +6,16 @@
 
 #include "Common/Types.h"
 
-// Keeps a process from sending a peer the same large answer again while the first may still be on
-// its way: peers ask anew when an answer takes long.
+// Limits how often a process sends the same large answer to a peer. A peer that waits long for an
+// answer repeats its request; without the limit, the answer would be sent again while the first
+// copy may still be in transit.
 namespace Holdpost::Control
 {
 class AnswerPacing
 {
 public:
-  // Whether the peer may be sent this version now; if so, it counts as sent.
+  // Returns whether this version may be sent to the peer now. If so, the version is recorded as
+  // sent.
   bool Take(const Common::Address& peer, std::uint64_t version, Common::TimePoint now)
   {
     std::erase_if(m_sent, [now](const auto& entry) { return now - entry.second.at >= PAUSE; });
--- a/Source/Core/Control/ControlFollower.cpp
+++ b/Source/Core/Control/ControlFollower.cpp
@@ -17,7 +17,8 @@
 using Common::Weight;
 
 static constexpr Duration PAUSE_LEAST = Milliseconds(100);
-// The platform usually tells all processes at nearly the same time.
+// The platform usually sends a change to all processes at nearly the same time, so it gets this
+// much time to deliver settings before a peer is asked for them.
 static constexpr Duration PLATFORM_HEAD_START = Milliseconds(300);
 static constexpr Duration ASK_PERIOD = Milliseconds(400);
 static constexpr Duration PAUSE_MOST = Milliseconds(1000);
@@ -25,7 +26,7 @@
 Duration Backoff::Next()
 {
   m_pause = std::clamp(m_pause * 2, PAUSE_LEAST, PAUSE_MOST);
-  // Between a half and the whole of the pause.
+  // The jittered pause lies between half of `m_pause` and all of it.
   const auto half = static_cast<std::uint64_t>(m_pause.count() / 2);
   return Duration(m_pause.count() / 2 + static_cast<Duration::rep>(m_random() % (half + 1)));
 }
@@ -73,8 +74,9 @@
 {
   if (std::exchange(m_reads, reads) || !reads)
     return;
-  // What was written meanwhile is of no interest, only what is newest now. The list is read whole,
-  // as who read it before may have kept targets whose records had lapsed.
+  // Only the newest state matters, not the changes that were written while another process was
+  // reading. The target list is read in full, because the previous reader may have kept targets
+  // whose records had lapsed.
   m_operator_next = 0;
   m_targets_next = 0;
   m_operator_due = {};
@@ -112,7 +114,8 @@
   m_operator_next = read.next;
   if (m_document || read.document)
     m_operator_backoff.Reset();
-  // Until the first document is written there is nothing to wait at: it is asked for ever less.
+  // Until the first document is written there is no position to wait at, so the platform is polled
+  // with growing pauses.
   m_operator_due = m_document || read.document ? now : now + m_operator_backoff.Next();
   bool is_new = read.document && OfferDocument(read.document, read.text);
   is_new = OfferRead(read.weights, now) || is_new;
@@ -126,7 +129,8 @@
   bool is_new = false;
   for (const NamedWeights& named : weights)
   {
-    // What may have been there for long says nothing of a version that is known already.
+    // A read that may return old namings tells nothing about the age of a version that is already
+    // known.
     if (m_naming.MayHaveMissed() && m_weights[named.model].IsKnown(named.version))
       continue;
     is_new = OfferWeights(named, since) || is_new;
--- a/Source/Core/Control/ControlFollower.h
+++ b/Source/Core/Control/ControlFollower.h
@@ -14,23 +14,23 @@
 #include "Core/Control/NamingWatch.h"
 #include "Core/Control/TargetList.h"
 
-// Follows what a platform tells of settings and targets: when to ask, and what is known. Versions
-// only rise.
+// Follows the settings and the target list of the platform: decides when to read them and keeps the
+// newest known state. Versions never decrease.
 namespace Holdpost::Control
 {
 struct FollowerOptions
 {
-  // Between two reads of the list of targets.
+  // The time between two reads of the target list.
   Common::Milliseconds list_period{600};
-  // How long one read of the operators' changes waits for the next.
+  // How long one read of the operators' changes waits for the next change (long poll).
   Common::Milliseconds long_poll{2500};
-  // A version that was named before the start is taken to be so old then, until a process that knew
-  // of the naming tells.
+  // The age that a version named before the start of this process is assumed to have at the start,
+  // until a process that saw the naming reports its age.
   Common::Milliseconds assumed_age{0};
 };
 
-// Times the attempts at something that fails: the pause doubles, with jitter, so that many
-// processes don't come back at the same moment.
+// Computes the pauses between retries of a failing operation. The pause doubles up to a maximum and
+// has jitter, so that many processes do not retry at the same moment.
 class Backoff
 {
 public:
@@ -48,53 +48,56 @@
 public:
   ControlFollower(FollowerOptions options, std::uint64_t seed);
 
-  // The process has started, though nothing may have to be asked yet.
+  // Records the start of the process. The platform may not have to be read yet.
   void Begin(Common::TimePoint now) { m_naming.Begin(now); }
   void OnTick(Common::TimePoint now, Actions* actions);
   Common::TimePoint NextWakeup() const;
-  // While another process reads for this one, nothing is asked of the platform.
+  // While another process reads for this one, nothing is requested from the platform.
   void SetReading(bool reads);
 
-  // Each returns true if something new is known.
+  // Each of these functions returns true if the known state changes.
   bool OnOperatorRead(const Common::Result<OperatorRead>& result, Common::TimePoint now);
   bool OnTargetsRead(const Common::Result<TargetsRead>& result, Common::TimePoint now);
-  // Learnt from another process.
+  // Applies a document that another process sent.
   bool OfferDocument(const std::shared_ptr<const Settings::Document>& document,
                      const Common::Bytes& text);
-  // Another process has told of a version. Returns the own one if that process is to be asked for
-  // its document now, as the platform has not brought it here in time.
+  // Handles a settings version that another process announced. Returns the local version if that
+  // process has to be asked for its document now, because the platform has not delivered it in
+  // time.
   std::optional<Settings::DocumentVersion> OnPeerVersion(Settings::DocumentVersion version,
                                                          Common::TimePoint now);
   bool OfferWeights(const NamedWeights& named, const KnownSince& since);
-  // Another process has told of all versions that were named until then.
+  // Records that another process has announced all versions that were named until this time.
   void OnToldAll(Common::TimePoint until) { m_naming.OnToldAll(until); }
-  // What another process read of the list of targets; of no use if something before it is missing.
+  // Applies target list changes that another process read. They are ignored if earlier changes are
+  // missing.
   bool OfferTargets(const TargetsNews& news);
-  // Another process has read the list up to `position`, and `changed` was the last change in it.
-  // Returns whether that process is to be asked, as a change is missing here.
+  // Handles the news that another process has read the target list up to `position` and that its
+  // last change is at `changed`. Returns whether that process has to be asked for the list, because
+  // this process lacks a change.
   bool MissesTargets(Position position, Position changed);
 
   const std::shared_ptr<const Settings::Document>& Document() const { return m_document; }
   Settings::DocumentVersion Version() const { return m_document ? m_document->version : 0; }
   const Common::Bytes& DocumentText() const { return m_document_text; }
-  // The document that was in force before.
+  // The version and the text of the document that was in force before the current one.
   Settings::DocumentVersion VersionBefore() const { return m_version_before; }
   const Common::Bytes& TextBefore() const { return m_text_before; }
-  // The last versions of each model.
+  // The newest named versions of each model.
   const std::map<std::string, NamedVersions>& Weights() const { return m_weights; }
   std::vector<Gateway::ListedTarget> Targets() const { return m_targets.All(); }
   bool HasTargets() const { return m_targets.IsKnown(); }
-  // Whether the platform has answered both reads since the start. There may be no settings yet: who
-  // follows this process need not ask for them as well.
+  // Whether the platform has answered both reads since the start. There may be no settings yet;
+  // processes that follow this one do not have to request them from the platform too.
   bool HasReadAll() const { return m_has_read_operator && m_has_read_targets; }
-  // How far the list of targets is known, and the last change in it.
+  // The position up to which the target list is known, and the position of its last change.
   Position TargetsPosition() const { return m_targets.Known(); }
   Position TargetsChanged() const { return m_targets.Changed(); }
-  // The changes of the last read, for processes that know the list up to its base.
+  // The changes of the last read, for processes that know the target list up to its base.
   const TargetsNews& LastTargetsNews() const { return m_targets.LastNews(); }
-  // The whole list, for processes that know none of it.
+  // The full target list, for processes that know none of it.
   TargetsNews WholeTargets() const { return m_targets.Whole(); }
-  // When the platform last answered; the start of time before that.
+  // The time of the platform's last answer, or the default time point before the first answer.
   Common::TimePoint LastAnswer() const { return m_last_answer; }
   bool IsReachable() const { return m_is_reachable; }
   void SetListPeriod(Common::Milliseconds period) { m_options.list_period = period; }
@@ -112,11 +115,12 @@
   std::map<std::string, NamedVersions> m_weights;
   TargetList m_targets;
   bool m_is_reachable = false;
-  // Since when others are known to have newer settings.
+  // The time since which other processes are known to have newer settings.
   std::optional<Common::TimePoint> m_behind_since;
   Common::TimePoint m_ask_due{};
   Position m_operator_next = 0;
-  // Where the platform is asked to go on; 0 for the whole list.
+  // The position from which the platform is asked for target list changes; 0 requests the full
+  // list.
   Position m_targets_next = 0;
   bool m_reads = true;
   Common::TimePoint m_last_answer{};
--- a/Source/Core/Control/ControlMessages.h
+++ b/Source/Core/Control/ControlMessages.h
@@ -13,14 +13,14 @@
 #include "Core/Gateway/Target.h"
 #include "Core/Settings/Document.h"
 
-// What gateways and sidecars ask of a platform that hands out whole settings documents and a list
-// of targets, and its answers.
+// The requests that gateways and sidecars send to a platform that delivers whole settings documents
+// and a target list, and the platform's answers.
 namespace Holdpost::Control
 {
-// A place in a sequence of changes; 0 asks for the newest state of everything.
+// A position in a sequence of changes; 0 requests the newest full state.
 using Position = std::uint64_t;
 
-// An operator has named new weights of a model.
+// A version of a model's weights that an operator has named.
 struct NamedWeights
 {
   std::string model;
@@ -29,29 +29,30 @@
   bool operator==(const NamedWeights&) const = default;
 };
 
-// What operators wrote since a position.
+// The operators' changes since a position.
 struct OperatorRead
 {
-  std::shared_ptr<const Settings::Document> document; // null if it has not changed
+  std::shared_ptr<const Settings::Document> document; // null if unchanged
   Common::Bytes text;                                 // the document as the platform wrote it
   std::vector<NamedWeights> weights;
   Position next = 0;
 };
 
-// Why a target is not on the list.
+// The reason why a target is not in the target list.
 enum class Removal
 {
-  // Its entry has gone. During an outage of the platform it may have lapsed, though it runs.
+  // Its record no longer exists. The record may have lapsed during an outage of the platform
+  // although the target runs.
   Gone,
-  // What stands there cannot be read, so whoever wrote it, the target is not there.
+  // Its record cannot be parsed, so there is no such target, whoever wrote the record.
   Unreadable,
 };
 
-// A target has come, changed or gone.
+// An added, changed or removed target.
 struct TargetChange
 {
   Gateway::TargetId id;
-  std::optional<Gateway::ListedTarget> target; // empty if it has gone
+  std::optional<Gateway::ListedTarget> target; // empty if removed
   Removal removal = Removal::Gone;
 
   bool operator==(const TargetChange&) const = default;
@@ -59,24 +60,25 @@
 
 struct TargetsRead
 {
-  // The changes are the whole list, so what they leave out is gone.
+  // The changes are the full list, so targets that are missing from them have been removed.
   bool is_whole = false;
   std::vector<TargetChange> changes;
   Position next = 0;
 };
 
-// Changes of the list of targets that one process passes on to another.
+// Changes of the target list that one process forwards to another.
 struct TargetsNews
 {
-  // Who knows the list up to here needs the changes only; 0 if they are the whole list.
+  // A process that knows the list up to this position needs only the changes; 0 if the changes are
+  // the full list.
   Position base = 0;
   Position position = 0;
   std::vector<TargetChange> changes;
 };
 
-// --- asked of the platform ---
+// --- requests to the platform ---
 
-// Waits up to `wait` for a change.
+// Reads the operators' changes; the platform waits up to `wait` for a change.
 struct ReadOperator
 {
   Position from = 0;
--- a/Source/Core/Control/NamedVersions.cpp
+++ b/Source/Core/Control/NamedVersions.cpp
@@ -8,7 +8,8 @@
 using Common::Milliseconds;
 
 static constexpr std::size_t VERSIONS_KEPT = 4;
-// Times from others are off by how long their message took, so small differences are no news.
+// Times received from other processes are off by the network delay of the message, so smaller
+// differences are not treated as changes.
 static constexpr Milliseconds EARLIER_LEAST = Milliseconds(20);
 
 bool KnownSince::Replaces(const KnownSince& known) const
--- a/Source/Core/Control/NamedVersions.h
+++ b/Source/Core/Control/NamedVersions.h
@@ -6,18 +6,21 @@
 
 #include "Common/Types.h"
 
-// The last versions of a model that operators named, and since when each is known to any process.
+// The newest versions of a model that operators named, each with the time since which any process
+// has known it.
 namespace Holdpost::Control
 {
-// Since when a version is known to any process.
+// The time since which any process has known a version.
 struct KnownSince
 {
   Common::TimePoint time{};
-  // Who knew of the naming itself has not been heard of: the time is the earliest that matters.
+  // No process that saw the naming itself has reported its time; `time` is the earliest time that
+  // matters for the switch deadline.
   bool is_assumed = false;
 
   bool operator==(const KnownSince&) const = default;
-  // What some process saw counts more than what was assumed, and otherwise the earlier time.
+  // Whether this time replaces `known`: an observed time replaces an assumed one, and otherwise the
+  // earlier time wins.
   bool Replaces(const KnownSince& known) const;
 };
 
@@ -32,11 +35,11 @@
 class NamedVersions
 {
 public:
-  // Returns whether this is news: a version that was not known, or more of when it was named.
-  // Versions before those that are kept are no news.
+  // Returns whether the known state changes: the version is new, or its naming time is now known
+  // better. Versions older than those that are kept are ignored.
   bool Offer(const KnownVersion& offered);
   bool IsKnown(std::uint64_t version) const;
-  // The oldest one first.
+  // All kept versions, oldest first.
   const std::vector<KnownVersion>& All() const { return m_known; }
   std::uint64_t Newest() const { return m_known.empty() ? 0 : m_known.back().version; }
 
--- a/Source/Core/Control/NamingWatch.cpp
+++ b/Source/Core/Control/NamingWatch.cpp
@@ -9,9 +9,10 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// A reader that goes silent is replaced within this time.
+// A silent reader is replaced within this time.
 static constexpr Duration TAKE_OVER_MOST = Milliseconds(2000);
-// A read that gets no byte for so long is given up. What took longer is a process that stood still.
+// A read that receives no byte for this time is aborted. A longer delay means that this process was
+// suspended.
 static constexpr Duration ANSWER_DELAY_MOST = Milliseconds(1000);
 
 Milliseconds AssumedAge(Milliseconds switch_within, Milliseconds start_grace)
@@ -45,8 +46,8 @@
 void NamingWatch::OnOperatorFailed(TimePoint now)
 {
   m_has_failed = true;
-  // A platform that refuses at once is down, and nothing is named meanwhile. Silence may be that of
-  // a full link.
+  // A platform that refuses requests immediately is down, and nothing is named meanwhile. A
+  // platform that does not respond may be behind a saturated link.
   if (m_told_until && now - m_operator_asked < ANSWER_DELAY_MOST)
     OnToldAll(m_operator_asked);
 }
@@ -60,7 +61,8 @@
 
 void NamingWatch::OnToldAll(TimePoint until)
 {
-  // Who was told nothing since this process began knows nothing that it may have missed.
+  // A process that has received no announcement since this process began has no information about
+  // namings that this process may have missed.
   if (m_began && until < *m_began)
     return;
   m_told_until = std::max(m_told_until.value_or(until), until);
--- a/Source/Core/Control/NamingWatch.h
+++ b/Source/Core/Control/NamingWatch.h
@@ -6,13 +6,15 @@
 #include "Common/Types.h"
 #include "Core/Control/NamedVersions.h"
 
-// Since when versions are known that a read of the platform finds: no record tells when it was
-// written. What is not seen being named is taken to be older rather than younger, as a bound that
-// counts from the naming may otherwise come too late.
+// Determines since when the versions that a read of the platform returns are known, because the
+// platform's records carry no write time. A version whose naming was not observed is taken to be
+// older rather than younger, as its switch deadline, which counts from the naming, could otherwise
+// be too late.
 namespace Holdpost::Control
 {
-// How old a version may be at most when a process starts, so that its bound lies `start_grace`
-// after the start: from then on the process is held to bounds.
+// The maximum age that a version is assumed to have when a process starts, chosen so that its
+// switch deadline lies `start_grace` after the start. From then on the process has to meet switch
+// deadlines.
 Common::Milliseconds AssumedAge(Common::Milliseconds switch_within,
                                 Common::Milliseconds start_grace);
 
@@ -21,30 +23,33 @@
 public:
   explicit NamingWatch(Common::Milliseconds assumed_age) : m_assumed_age(assumed_age) {}
 
-  // The process has started; later calls do nothing.
+  // Records the start of the process; later calls have no effect.
   void Begin(Common::TimePoint now);
-  // The platform is asked for its list of targets, which it answers at once, and has answered.
+  // The platform is asked for its target list, which it answers immediately, or has answered.
   void OnListAsked(Common::TimePoint now);
   void OnListAnswered(Common::TimePoint now);
-  // The platform is asked for what operators wrote: for the newest state, or for what changes.
+  // The platform is asked for the operators' changes: for the newest state, or for changes since a
+  // position.
   void OnOperatorAsked(bool is_newest, Common::TimePoint now);
   void OnOperatorFailed(Common::TimePoint now);
   void OnOperatorAnswered(Common::TimePoint now);
-  // Another process has told of all versions that were named until then.
+  // Records that another process has announced all versions that were named until this time.
   void OnToldAll(Common::TimePoint until);
 
-  // Whether the present read may find what was named before it was asked for.
+  // Whether the current read may return versions that were named before the read was sent.
   bool MayHaveMissed() const { return m_may_have_missed; }
-  // Since when versions are known that the present read finds, if they were not known before.
+  // The time since which versions returned by the current read are known, if they were not known
+  // before.
   KnownSince SinceOfRead(Common::TimePoint now) const;
 
 private:
-  // How long answers of the platform are on their way at the moment.
+  // The current network delay of the platform's answers.
   Common::Duration AnswerDelay(Common::TimePoint now) const;
 
   Common::Milliseconds m_assumed_age;
   std::optional<Common::TimePoint> m_began;
-  // Until when all versions that were named are known, and by the own reads.
+  // The times up to which all named versions are known: from any source, and from this process's
+  // own reads.
   std::optional<Common::TimePoint> m_told_until;
   std::optional<Common::TimePoint> m_read_until;
   bool m_has_failed = false;
--- a/Source/Core/Control/PeerQuery.cpp
+++ b/Source/Core/Control/PeerQuery.cpp
@@ -8,7 +8,8 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// At a start the platform is given so long to answer first.
+// At a start, or when it stops answering, the platform gets this much time to answer before peers
+// are asked.
 static constexpr Duration PLATFORM_HEAD_START = Milliseconds(300);
 static constexpr Duration PERIOD_PARTIAL = Milliseconds(400);
 static constexpr Duration PERIOD_WHOLE = Milliseconds(2000);
--- a/Source/Core/Control/PeerQuery.h
+++ b/Source/Core/Control/PeerQuery.h
@@ -6,23 +6,23 @@
 
 #include "Common/Types.h"
 
-// Decides when another process is asked for settings and targets, because the platform does not
-// answer here.
+// Decides when to ask another process for settings and targets because the platform does not answer
+// this process.
 namespace Holdpost::Control
 {
 // How much this process knows without the platform.
 enum class Knowledge
 {
-  // Too little to serve callers.
+  // Not enough to serve callers.
   Partial,
-  // What was in force when the platform last answered.
+  // The state that was in force when the platform last answered.
   Whole,
 };
 
 class PeerQuery
 {
 public:
-  // The peers may be down or stale, so they are asked in turn.
+  // The peers may be down or their addresses stale, so they are asked in turn.
   explicit PeerQuery(std::vector<Common::Address> peers) : m_peers(std::move(peers)) {}
 
   void SetPeers(std::vector<Common::Address> peers)
@@ -30,7 +30,7 @@
     m_peers = std::move(peers);
     m_next = 0;
   }
-  // The peer to ask now; empty if none is due.
+  // Returns the peer to ask now; empty if no query is due.
   std::optional<Common::Address> OnTick(bool is_platform_reachable, Knowledge knowledge,
                                         Common::TimePoint now);
   Common::TimePoint NextWakeup() const;
@@ -38,7 +38,7 @@
 private:
   std::vector<Common::Address> m_peers;
   std::size_t m_next = 0;
-  // When the next peer is due; empty while the platform answers.
+  // The time of the next query; empty while the platform answers.
   std::optional<Common::TimePoint> m_due;
 };
 } // namespace Holdpost::Control
--- a/Source/Core/Control/ReaderDuty.cpp
+++ b/Source/Core/Control/ReaderDuty.cpp
@@ -12,25 +12,30 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// A reader that had no answer of the platform for so long may be cut off from it. Settings have to
-// be in force, and leaving targets spared, within two seconds: the rest is for reading anew.
+// A reader that has received no answer from the platform for this time may be cut off from it.
+// Settings have to be in force, and leaving targets avoided, within two seconds; the remaining time
+// is for another process to take over and read.
 static constexpr Duration ANSWER_AGE_MOST = Milliseconds(1000);
-// Those that wait don't all begin at once: the others receive the beat of the first one that does.
+// Spreads the takeover by waiting processes: they do not all start to read at once, and the others
+// receive the heartbeat of the first one that does.
 static constexpr std::uint64_t JITTER_MS = 200;
-// A process that has just started is told by others within so long, if any can.
+// The time within which other processes, if there are any, send their state to a process that has
+// just started.
 static constexpr Milliseconds TOLD_WITHIN = Milliseconds(20);
-// When all processes start together, none can. If they all asked the platform at once, its link
-// would be full: so they come one after the other.
+// When all processes start together, none has any state to send. If they all queried the platform
+// at once, they would saturate its link, so this jitter spreads their first reads.
 static constexpr std::uint64_t TOLD_JITTER_MS = 230;
 static constexpr Milliseconds LIST_PERIOD_LEAST = Milliseconds(100);
-// An answer whose beat comes one period late must still be younger than ANSWER_AGE_MOST when the
-// next one comes, or other gateways take over from a reader that is well.
+// If the heartbeat after an answer is lost or one period late, the age of the answer must still be
+// below the maximum when the next heartbeat arrives; otherwise other gateways would take over from
+// a healthy reader.
 static constexpr Milliseconds LIST_PERIOD_MOST = Milliseconds(600);
-// So many go on asking a platform that answers none of them. The platform may refuse some machines
-// only, so each of the others takes a turn from time to time, one about each TURN_OF_EACH.
+// The number of processes that keep querying a platform that answers none of them. The platform may
+// refuse only some instances, so each of the others takes a turn from time to time: about one
+// process per turn period.
 static constexpr std::size_t FAILING_READERS_MOST = 5;
 static constexpr Milliseconds TURN_OF_EACH = Milliseconds(2000);
-// Readers send a beat each 300 ms, and one of these may be lost.
+// Readers send a heartbeat every 300 ms, and one heartbeat may be lost.
 static constexpr Duration FAILING_LIFETIME = Milliseconds(700);
 
 ReaderRank RankOf(const Common::Address& process)
@@ -82,7 +87,7 @@
 {
   std::erase_if(m_failing,
                 [now](const auto& entry) { return now - entry.second > FAILING_LIFETIME; });
-  // The least ranks go on, and the others leave it to them.
+  // The processes with the lowest ranks keep reading, and the others stop.
   const auto before = std::distance(m_failing.begin(), m_failing.lower_bound(m_rank));
   return static_cast<std::size_t>(m_reads ? before : m_failing.size()) >= FAILING_READERS_MOST;
 }
--- a/Source/Core/Control/ReaderDuty.h
+++ b/Source/Core/Control/ReaderDuty.h
@@ -7,17 +7,18 @@
 
 #include "Common/Types.h"
 
-// Decides whether this process reads the platform itself or leaves it to another one of its hall,
-// which passes on what it reads. No agreement is needed: two that read at once are only dearer,
-// and each receives the beat of the other soon.
+// Decides whether this process reads the platform itself or leaves that to another process of its
+// hall, which forwards what it reads. The processes need no agreement: two concurrent readers only
+// cost more requests, and each soon receives the heartbeat of the other.
 namespace Holdpost::Control
 {
-// A process's place among those that could read; the least one keeps reading.
+// The rank of a process among those that can read the platform; the process with the lowest rank
+// keeps reading.
 using ReaderRank = std::uint64_t;
 ReaderRank RankOf(const Common::Address& process);
 
-// How often a reader asks for the list of targets, so that a leaving target is known within
-// `drain_within` even if the reader has to be taken over first.
+// The interval at which a reader polls the target list, chosen so that a leaving target is known
+// within `drain_within` even if another process has to take over reading first.
 Common::Milliseconds ListPeriod(Common::Milliseconds drain_within);
 
 enum class DutyChange
@@ -30,31 +31,34 @@
 class ReaderDuty
 {
 public:
-  // Reads from the start, until the beat of another reader comes.
+  // The process reads from the start until it receives the heartbeat of another reader.
   ReaderDuty(ReaderRank rank, std::uint64_t seed) : m_rank(rank), m_random(seed) {}
 
-  // Gives others a moment to tell what they know, before anything is asked of the platform.
+  // Waits a short time for the state of other processes before anything is requested from the
+  // platform.
   void WaitToBeTold(Common::TimePoint now);
-  // No other process of the hall is known, so nobody can tell.
+  // Ends that wait: no other process of the hall is known, so none can send its state.
   void OnAlone(Common::TimePoint now);
 
-  // How many processes of the hall could read, this one included.
+  // The number of processes of the hall that can read the platform, including this one.
   void SetMembers(std::size_t members) { m_members = members; }
-  // Another process of the hall reads, and had an answer of the platform so long ago.
+  // Handles the heartbeat of another process of the hall that reads the platform and received its
+  // last answer `answer_age` ago.
   void OnReaderBeat(ReaderRank rank, Common::Duration answer_age, Common::TimePoint now);
-  // Takes over when what readers told is too old, and leaves a platform that answers nobody to a
-  // few. `answered` is when it last answered this process.
+  // Takes over reading when the state from other readers is too old, and limits the number of
+  // readers while the platform answers none of them. `answered` is the time of the platform's last
+  // answer to this process.
   DutyChange OnTick(Common::TimePoint answered, Common::TimePoint now);
   bool Reads() const { return m_reads; }
-  // Whether it leaves the platform to another reader.
+  // Whether this process relies on another reader.
   bool IsFollowing() const { return !m_reads && m_has_reader; }
   Common::TimePoint NextWakeup() const;
 
 private:
   bool IsFresh(Common::Duration answer_age) const;
-  // Whether enough others ask a platform that answers none of them.
+  // Whether enough other processes query a platform that answers none of them.
   bool AreOthersFailing(Common::TimePoint now);
-  // When this process takes a turn at a platform that answers nobody.
+  // The time of this process's next turn at querying a platform that answers no process.
   Common::TimePoint NextTurn(Common::TimePoint now);
 
   ReaderRank m_rank;
@@ -63,11 +67,12 @@
   bool m_reads = true;
   Common::TimePoint m_began{};
   bool m_has_reader = false;
-  // Without a newer beat of a reader this process begins to read.
+  // The time at which this process starts to read unless it receives a newer heartbeat of a reader.
   Common::TimePoint m_take_over_at{};
-  // That time is a turn at a platform that answers nobody.
+  // Whether `m_take_over_at` is a turn at querying a platform that answers no process.
   bool m_has_turn = false;
-  // Readers that have had no answer for long, and when each told so.
+  // Readers whose last answer from the platform is too old, with the time of the heartbeat that
+  // reported it.
   std::map<ReaderRank, Common::TimePoint> m_failing;
 };
 } // namespace Holdpost::Control
--- a/Source/Core/Control/TargetList.cpp
+++ b/Source/Core/Control/TargetList.cpp
@@ -14,8 +14,9 @@
 using Common::TimePoint;
 using Common::Weight;
 
-// A platform that was away for so long may have let records lapse, though their targets live. They
-// write them anew within about two seconds of its return.
+// After a platform outage of at least this length, records may have lapsed although their targets
+// are alive. Such targets write their records again within about two seconds of the platform's
+// return.
 static constexpr Duration OUTAGE_LEAST = Milliseconds(1000);
 static constexpr Duration BACK_WITHIN = Milliseconds(2200);
 
@@ -35,7 +36,7 @@
 bool TargetList::OnRead(const TargetsRead& read, TimePoint now)
 {
   NoteAnswered(now);
-  // Another process may have read further meanwhile.
+  // A list that another process read further may have been applied in the meantime.
   if (read.next < m_known)
     return false;
   const bool is_first = !std::exchange(m_is_known, true);
@@ -100,7 +101,8 @@
                   if (found == m_targets.end() ||
                       found->second.state != Gateway::TargetState::Ready)
                     return false;
-                  // Where few are gone, they have left while the platform was out of our reach.
+                  // If only a few records are gone, their targets have left while this process
+                  // could not reach the platform.
                   const Count& count = services[found->second.service];
                   if (2 * count.gone < count.ready)
                     return false;
@@ -120,8 +122,8 @@
   m_lapsed.clear();
 }
 
-// Most records of the list only say that a target is still there, and several may be of one target:
-// only what has come of them is told.
+// Most records of the target list only confirm that a target is still present, and one read may
+// contain several records of the same target. Only the resulting differences are forwarded.
 TargetsNews TargetList::ChangesSince(const TargetsById& before, Position next) const
 {
   TargetsNews news{m_changed, next, {}};
@@ -155,7 +157,7 @@
     return false;
   if (is_whole)
     m_targets.clear();
-  // Whoever read them has waited for those that lapsed.
+  // The process that read the list has already waited for the targets whose records lapsed.
   m_lapsed.clear();
   for (const TargetChange& change : news.changes)
   {
--- a/Source/Core/Control/TargetList.h
+++ b/Source/Core/Control/TargetList.h
@@ -9,41 +9,43 @@
 #include "Common/Types.h"
 #include "Core/Control/ControlMessages.h"
 
-// The platform's list of targets, as one process reads it for others and they follow.
+// The platform's target list, as one process reads it for others and as the others follow it.
 namespace Holdpost::Control
 {
 class TargetList
 {
 public:
-  // Returns true if something new is known.
+  // Returns true if the known state changes.
   bool OnRead(const TargetsRead& read, Common::TimePoint now);
   void OnReadFailed(Common::TimePoint now);
-  // What another process read; of no use if something before it is missing.
+  // Applies changes that another process read. They are ignored if earlier changes are missing.
   bool Offer(const TargetsNews& news);
-  // Another process has read the list up to `position`, and `changed` was the last change in it.
-  // Returns whether that process is to be asked, as a change is missing here.
+  // Handles the news that another process has read the list up to `position` and that its last
+  // change is at `changed`. Returns whether that process has to be asked for the list, because this
+  // process lacks a change.
   bool Misses(Position position, Position changed);
 
   bool IsKnown() const { return m_is_known; }
   std::size_t Size() const { return m_targets.size(); }
   std::vector<Gateway::ListedTarget> All() const;
-  // How far the list is known, and the last change in it.
+  // The position up to which the list is known, and the position of its last change.
   Position Known() const { return m_known; }
   Position Changed() const { return m_changed; }
-  // What the last read changed, for processes that knew the list before it.
+  // The changes of the last read, for processes that knew the list before it.
   const TargetsNews& LastNews() const { return m_news; }
-  // The whole list, for processes that know none of it.
+  // The full list, for processes that know none of it.
   TargetsNews Whole() const;
 
 private:
   using TargetsById = std::map<Gateway::TargetId, Gateway::ListedTarget>;
 
-  // Takes those out of `gone` whose records have lapsed, as it seems, while the platform was away.
+  // Removes the targets from `gone` whose records presumably lapsed during an outage of the
+  // platform.
   void KeepLapsed(std::set<Gateway::TargetId>* gone, Common::TimePoint now);
-  // Targets of which the record lapsed and that are not back in time.
+  // Drops the targets whose records lapsed and were not written again in time.
   void RemoveLapsed(Common::TimePoint now);
   void NoteAnswered(Common::TimePoint now);
-  // What others have to be told, who know the list as it was before the read.
+  // The changes to forward to processes that know the list as it was before the read.
   TargetsNews ChangesSince(const TargetsById& before, Position next) const;
 
   TargetsById m_targets;
@@ -51,9 +53,10 @@
   Position m_known = 0;
   Position m_changed = 0;
   TargetsNews m_news;
-  // Since when the platform does not answer; empty while it does.
+  // The time since which the platform has not answered; empty while it answers.
   std::optional<Common::TimePoint> m_failing_since;
-  // Records may have lapsed while the platform was away: until then they can come back.
+  // Records may have lapsed during an outage of the platform; until this time their targets may
+  // write them again.
   Common::TimePoint m_lapses_until{};
   std::set<Gateway::TargetId> m_lapsed;
 };
--- a/Source/UnitTests/Core/Control/AnswerPacingTest.cpp
+++ b/Source/UnitTests/Core/Control/AnswerPacingTest.cpp
@@ -6,7 +6,7 @@
 using namespace Holdpost;
 using Common::Milliseconds;
 
-TEST_CASE("A peer is not sent the same answer again at once")
+TEST_CASE("A peer that repeats its request does not receive the same answer again immediately")
 {
   const Common::TimePoint start{std::chrono::hours(1)};
   const Common::Address peer{"10.1.0.4", 7700};
@@ -14,8 +14,8 @@
   CHECK(pacing.Take(peer, 7, start));
   CHECK_FALSE(pacing.Take(peer, 7, start + Milliseconds(400)));
   CHECK(pacing.Take({"10.1.0.5", 7700}, 7, start + Milliseconds(400)));
-  // Newer ones are news.
+  // A newer version is sent immediately.
   CHECK(pacing.Take(peer, 8, start + Milliseconds(500)));
-  // The first may have been lost.
+  // The first answer may have been lost.
   CHECK(pacing.Take(peer, 8, start + Milliseconds(2100)));
 }
--- a/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
+++ b/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
@@ -26,7 +26,7 @@
 }
 } // namespace
 
-TEST_CASE("The newest state is read first, then changes are waited for")
+TEST_CASE("A follower reads the newest state first and then waits for changes")
 {
   Fixture f;
   f.Tick();
@@ -53,7 +53,7 @@
   f.Tick(Milliseconds(200));
   CHECK(Take<ReadOperator>(f.actions).size() == 1);
 
-  SUBCASE("Ever less often, up to once a second")
+  SUBCASE("with growing pauses of up to one second")
   {
     std::size_t reads = 0;
     for (int step = 0; step < 500; ++step)
@@ -64,7 +64,7 @@
     }
     CHECK(reads <= 12);
   }
-  SUBCASE("Others may rely on it as soon as both reads were answered")
+  SUBCASE("and other processes may rely on the follower as soon as both reads were answered")
   {
     CHECK_FALSE(f.follower.HasReadAll());
     f.follower.OnTargetsRead(TargetsRead{true, {}, 1}, f.now);
@@ -72,7 +72,7 @@
   }
 }
 
-TEST_CASE("A list of targets from a peer counts if it was read further")
+TEST_CASE("A target list from a peer is applied only if it was read further than the local one")
 {
   Fixture f;
   f.Tick();
@@ -83,19 +83,20 @@
   CHECK_FALSE(f.follower.OfferTargets({0, 20, {{"c", MakeTarget("c")}}}));
   CHECK(f.follower.Targets().size() == 2);
 
-  // The platform is asked to go on from there.
+  // The platform is asked for changes since that position.
   f.follower.OnTargetsRead(Error{ErrorKind::PlatformUnavailable, "down"}, f.now);
   f.actions.clear();
   f.Tick(Milliseconds(1500));
   CHECK(Take<ReadTargets>(f.actions).at(0).from == 20);
 
-  // Without its history the platform tells everything anew; what a peer read before is older.
+  // When the platform has lost its history, it returns the full list; an earlier read by a peer is
+  // older.
   f.follower.OnTargetsRead(Error{ErrorKind::PositionGone, "gone"}, f.now);
   CHECK_FALSE(f.follower.OfferTargets({0, 15, {{"c", MakeTarget("c")}}}));
   CHECK(f.follower.Targets().size() == 2);
 }
 
-TEST_CASE("One process reads the list for others, which need its changes only")
+TEST_CASE("One process reads the target list and forwards only its changes to the others")
 {
   Fixture reader;
   Fixture other;
@@ -105,7 +106,8 @@
   CHECK(other.follower.OfferTargets(reader.follower.WholeTargets()));
   CHECK(other.follower.Targets() == reader.follower.Targets());
 
-  // Records that only say that a target is there are no news, and are not missed.
+  // Records that only confirm that a target is present are not changes, and nothing is missing
+  // without them.
   CHECK_FALSE(
       reader.follower.OnTargetsRead(TargetsRead{false, {{"a", MakeTarget("a")}}, 9}, reader.now));
   CHECK(reader.follower.OnTargetsRead(
@@ -114,14 +116,14 @@
   const TargetsNews news = reader.follower.LastTargetsNews();
   CHECK(news.changes.size() == 2);
 
-  SUBCASE("they come")
+  SUBCASE("the changes arrive")
   {
     CHECK(other.follower.OfferTargets(news));
     CHECK(other.follower.Targets() == reader.follower.Targets());
     CHECK_FALSE(other.follower.MissesTargets(14, reader.follower.TargetsChanged()));
     CHECK(other.follower.TargetsPosition() == 14);
   }
-  SUBCASE("they are lost, which the reader's next beat shows")
+  SUBCASE("the changes are lost, which the reader's next heartbeat shows")
   {
     CHECK(other.follower.MissesTargets(14, reader.follower.TargetsChanged()));
     CHECK(reader.follower.OnTargetsRead(TargetsRead{false, {{"d", MakeTarget("d")}}, 15},
@@ -130,7 +132,7 @@
     CHECK(other.follower.OfferTargets(reader.follower.WholeTargets()));
     CHECK(other.follower.Targets() == reader.follower.Targets());
   }
-  SUBCASE("a read of one's own that began before is older")
+  SUBCASE("a local read that started earlier returns an older list, which is ignored")
   {
     CHECK(other.follower.OfferTargets(news));
     CHECK_FALSE(
@@ -139,7 +141,7 @@
   }
 }
 
-TEST_CASE("What others are told of the list comes to the same as the list")
+TEST_CASE("Forwarded target list changes give other processes the same list")
 {
   Fixture f;
   f.Tick();
@@ -152,22 +154,22 @@
       CHECK(other.OfferTargets(f.follower.LastTargetsNews()));
     CHECK(other.Targets() == f.follower.Targets());
   };
-  SUBCASE("a target that comes and goes within one read")
+  SUBCASE("a target is added and removed within one read")
   {
     read({false, {{"b", MakeTarget("b")}, {"b", std::nullopt}, {"c", MakeTarget("c")}}, 8});
     CHECK(other.Targets().size() == 2);
   }
-  SUBCASE("one that goes and comes back")
+  SUBCASE("a target is removed and added again")
   {
     read({false, {{"a", std::nullopt}, {"a", MakeTarget("a")}, {"c", MakeTarget("c")}}, 8});
   }
-  SUBCASE("one that leaves and is back in its state before")
+  SUBCASE("a leaving target returns to its previous state")
   {
     Gateway::ListedTarget leaving = MakeTarget("a");
     leaving.state = Gateway::TargetState::Leaving;
     read({false, {{"a", leaving}, {"a", MakeTarget("a")}, {"c", MakeTarget("c")}}, 8});
   }
-  SUBCASE("whatever happens to them")
+  SUBCASE("random changes")
   {
     std::mt19937 random(7);
     Position position = 5;
@@ -190,7 +192,8 @@
   }
 }
 
-TEST_CASE("Who leaves reading to another process asks the platform nothing, and anew afterwards")
+TEST_CASE(
+    "A follower that stops reading requests nothing, and reads the full state when it resumes")
 {
   Fixture f;
   f.Tick();
@@ -204,11 +207,12 @@
   f.follower.SetReading(true);
   f.Tick();
   CHECK(Testing::Only<ReadOperator>(f.actions).at(0).from == 0);
-  // The list too: who read it meanwhile may have kept targets whose records had lapsed.
+  // The list is read in full, too: the previous reader may have kept targets whose records had
+  // lapsed.
   CHECK(Testing::Only<ReadTargets>(f.actions).at(0).from == 0);
 }
 
-TEST_CASE("Who takes over reading drops what the one before had kept after an outage")
+TEST_CASE("A process that takes over drops targets that the reader before had kept after an outage")
 {
   Fixture f;
   f.Tick();
@@ -217,7 +221,7 @@
   ControlFollower next{{}, 2};
   REQUIRE(next.OfferTargets(f.follower.WholeTargets()));
   next.SetReading(false);
-  // After an outage both records have lapsed; the target "a" is not coming back.
+  // Both records have lapsed after an outage; the target "a" does not come back.
   f.follower.OnTargetsRead(Error{ErrorKind::PlatformUnavailable, "down"}, f.now);
   f.now += Milliseconds(4000);
   f.follower.OnTargetsRead(TargetsRead{false, {{"a", std::nullopt}, {"b", std::nullopt}}, 7},
@@ -228,7 +232,7 @@
   Actions actions;
   next.OnTick(f.now, &actions);
   const auto read = Testing::Only<ReadTargets>(actions).at(0);
-  // What the platform answers: the whole list, or what has changed since.
+  // The platform returns the full list or the changes since the position.
   next.OnTargetsRead(read.from == 0 ? TargetsRead{true, {{"b", MakeTarget("b")}}, 8}
                                     : TargetsRead{false, {{"b", MakeTarget("b")}}, 8},
                      f.now);
@@ -236,7 +240,7 @@
   CHECK(next.Targets()[0].id == "b");
 }
 
-TEST_CASE("Versions only rise, wherever they come from")
+TEST_CASE("Settings versions never decrease, whether they come from the platform or from a peer")
 {
   Fixture f;
   f.Tick();
@@ -250,7 +254,7 @@
   CHECK(*f.follower.DocumentText() == "peer");
 }
 
-TEST_CASE("A position that is gone is given up for the newest state")
+TEST_CASE("A follower whose position is gone reads the newest state")
 {
   Fixture f;
   f.Tick();
@@ -263,7 +267,7 @@
   CHECK(f.follower.Version() == 1);
 }
 
-TEST_CASE("A platform that fails is asked again with growing pauses")
+TEST_CASE("A failing platform is asked again with growing pauses")
 {
   Fixture f;
   int asked = 0;
@@ -282,7 +286,7 @@
   CHECK_FALSE(f.follower.IsReachable());
 }
 
-TEST_CASE("The list of targets is folded from its changes")
+TEST_CASE("The target list is updated by its changes")
 {
   Fixture f;
   f.Tick();
@@ -296,23 +300,23 @@
   CHECK(Take<ReadTargets>(f.actions).at(0).from == 5);
   CHECK(f.follower.OnTargetsRead(TargetsRead{false, {{"a", std::nullopt}}, 6}, f.now));
   CHECK(f.follower.Targets().size() == 1);
-  SUBCASE("a beat that changes nothing is no news")
+  SUBCASE("a record that repeats the state of a target is not a change")
   {
     CHECK_FALSE(f.follower.OnTargetsRead(TargetsRead{false, {{"b", MakeTarget("b")}}, 7}, f.now));
   }
-  SUBCASE("a failed read takes nobody for gone")
+  SUBCASE("a failed read removes no target")
   {
     f.follower.OnTargetsRead(Error{ErrorKind::PlatformUnavailable, "down"}, f.now);
     CHECK(f.follower.Targets().size() == 1);
   }
-  SUBCASE("a whole list drops what it leaves out")
+  SUBCASE("a full list removes the targets that are missing from it")
   {
     CHECK(f.follower.OnTargetsRead(TargetsRead{true, {}, 8}, f.now));
     CHECK(f.follower.Targets().empty());
   }
 }
 
-TEST_CASE("Another process is asked for settings that the platform does not bring in time")
+TEST_CASE("Another process is asked for settings that the platform does not deliver in time")
 {
   Fixture f;
   f.Tick();
@@ -321,7 +325,7 @@
   CHECK_FALSE(f.follower.OnPeerVersion(4, f.now).has_value());
   CHECK_FALSE(f.follower.OnPeerVersion(4, f.now + Milliseconds(200)).has_value());
   CHECK(f.follower.OnPeerVersion(4, f.now + Milliseconds(310)) == Settings::DocumentVersion(3));
-  // Not at every report.
+  // The peer is not asked at every report.
   CHECK_FALSE(f.follower.OnPeerVersion(4, f.now + Milliseconds(400)).has_value());
   CHECK(f.follower.OnPeerVersion(4, f.now + Milliseconds(800)).has_value());
 }
--- a/Source/UnitTests/Core/Control/FollowerFixture.h
+++ b/Source/UnitTests/Core/Control/FollowerFixture.h
@@ -17,7 +17,7 @@
   return {document, Common::MakeBytes("text"), {}, next};
 }
 
-// A follower and the time, which only passes by Tick and by hand.
+// A follower with a simulated clock, which advances only through Tick or by assignment.
 struct FollowerFixture
 {
   Control::ControlFollower follower{{Common::Milliseconds(600), Common::Milliseconds(2500)}, 1};
--- a/Source/UnitTests/Core/Control/NamedVersionsTest.cpp
+++ b/Source/UnitTests/Core/Control/NamedVersionsTest.cpp
@@ -20,14 +20,14 @@
   CHECK_FALSE(versions.Offer({3, {START + Milliseconds(500)}}));
   CHECK(versions.All().at(0).since.time == START);
 
-  SUBCASE("news that another process knew of it before")
+  SUBCASE("another process reports an earlier time")
   {
     CHECK(versions.Offer({3, {START - Milliseconds(600)}}));
     CHECK(versions.All().at(0).since.time == START - Milliseconds(600));
-    // What differs by no more than the time that the message was under way is no news.
+    // A difference within the network delay of a message is not a change.
     CHECK_FALSE(versions.Offer({3, {START - Milliseconds(605)}}));
   }
-  SUBCASE("what a process saw counts more than what another one assumed")
+  SUBCASE("a time that a process observed replaces one that another process assumed")
   {
     const KnownSince assumed{START - Milliseconds(9000), true};
     CHECK_FALSE(versions.Offer({3, assumed}));
@@ -36,13 +36,13 @@
     CHECK(versions.Offer({4, {START - Milliseconds(8500)}}));
     CHECK(versions.All().at(1).since == KnownSince{START - Milliseconds(8500)});
   }
-  SUBCASE("an older one that was missed")
+  SUBCASE("an older version that was missed is inserted")
   {
     CHECK(versions.Offer({2, {START - Milliseconds(2000)}}));
     CHECK(versions.All().at(0).version == 2);
     CHECK(versions.Newest() == 3);
   }
-  SUBCASE("only the last few")
+  SUBCASE("only the newest four versions are kept")
   {
     for (std::uint64_t version = 4; version < 10; ++version)
       CHECK(versions.Offer({version, {START}}));
--- a/Source/UnitTests/Core/Control/PeerQueryTest.cpp
+++ b/Source/UnitTests/Core/Control/PeerQueryTest.cpp
@@ -19,12 +19,12 @@
 {
   PeerQuery query({FIRST, SECOND});
 
-  SUBCASE("it answers from the start")
+  SUBCASE("the platform answers from the start: no peer is asked")
   {
     CHECK_FALSE(query.OnTick(true, Knowledge::Partial, START).has_value());
     CHECK(query.NextWakeup() == Common::TimePoint::max());
   }
-  SUBCASE("it is silent: after a head start one peer after the other, again and again")
+  SUBCASE("the platform does not answer: after a delay the peers are asked in turn, repeatedly")
   {
     CHECK_FALSE(query.OnTick(false, Knowledge::Partial, START).has_value());
     const auto first_due = query.NextWakeup();
@@ -34,21 +34,21 @@
     CHECK(query.OnTick(false, Knowledge::Partial, query.NextWakeup()) == SECOND);
     CHECK(query.OnTick(false, Knowledge::Partial, query.NextWakeup()) == FIRST);
   }
-  SUBCASE("what is known already is renewed less often")
+  SUBCASE("a process that already knows the state asks less often")
   {
     query.OnTick(false, Knowledge::Whole, START);
     const auto due = query.NextWakeup();
     CHECK(query.OnTick(false, Knowledge::Whole, due).has_value());
     CHECK(query.NextWakeup() - due >= Milliseconds(1000));
   }
-  SUBCASE("it answers again: nobody is asked")
+  SUBCASE("the platform answers again: no peer is asked any more")
   {
     query.OnTick(false, Knowledge::Partial, START);
     const auto due = query.NextWakeup();
     CHECK_FALSE(query.OnTick(true, Knowledge::Partial, due).has_value());
     CHECK(query.NextWakeup() == Common::TimePoint::max());
   }
-  SUBCASE("nobody is known: nothing is asked")
+  SUBCASE("no peer is known: nothing is asked")
   {
     PeerQuery alone({});
     CHECK_FALSE(alone.OnTick(false, Knowledge::Partial, START).has_value());
--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
@@ -18,14 +18,14 @@
 constexpr ReaderRank OWN = 5;
 constexpr ReaderRank WORSE = 9;
 
-// Whether a process that was last answered before all of this begins to read.
+// Whether a process that received its last answer before the test starts to read.
 bool Begins(ReaderDuty& duty, Common::TimePoint now)
 {
   return duty.OnTick(START - std::chrono::minutes(1), now) == DutyChange::Begins;
 }
 
-// The processes of a hall, and a platform that answers some of them, or none. Each tells the others
-// so often how old its last answer is.
+// The processes of a hall and a platform that answers all, some or none of them. Each reader sends
+// the age of its last answer to the others every BEAT_PERIOD.
 struct Hall
 {
   static constexpr Milliseconds BEAT_PERIOD = Milliseconds(300);
@@ -88,12 +88,12 @@
   std::vector<Process> processes;
   Common::TimePoint now = START;
   bool is_platform_up = true;
-  // Summed over all processes.
+  // The reading time summed over all processes.
   Common::Duration reading_time{};
 };
 } // namespace
 
-TEST_CASE("A process reads until the beat of a better reader comes")
+TEST_CASE("A process reads until it receives the heartbeat of a reader with a lower rank")
 {
   ReaderDuty duty(OWN, 1);
   CHECK(duty.Reads());
@@ -102,13 +102,13 @@
   duty.OnReaderBeat(BETTER, Milliseconds(10), START);
   CHECK_FALSE(duty.Reads());
 
-  SUBCASE("and leaves it to any reader then, so that the duty does not move without need")
+  SUBCASE("and then follows a reader of any rank, so that the role does not move without need")
   {
     duty.OnReaderBeat(WORSE, Milliseconds(10), START + Milliseconds(900));
     CHECK_FALSE(Begins(duty, START + Milliseconds(1500)));
     CHECK_FALSE(duty.Reads());
   }
-  SUBCASE("and takes over when the reader falls silent")
+  SUBCASE("and takes over when the reader's heartbeats stop")
   {
     CHECK_FALSE(Begins(duty, START + Milliseconds(900)));
     CHECK(duty.NextWakeup() <= START + Milliseconds(1200));
@@ -116,7 +116,7 @@
     CHECK(duty.Reads());
     CHECK_FALSE(Begins(duty, START + Milliseconds(1300)));
   }
-  SUBCASE("and takes over when the reader has lost the platform, though it still speaks")
+  SUBCASE("and takes over when the reader has lost the platform but still sends heartbeats")
   {
     duty.OnReaderBeat(BETTER, Milliseconds(600), START + Milliseconds(590));
     duty.OnReaderBeat(BETTER, Milliseconds(1100), START + Milliseconds(1090));
@@ -124,14 +124,14 @@
   }
 }
 
-TEST_CASE("One that has lost the platform does not keep others from reading")
+TEST_CASE("A reader that has lost the platform does not keep other processes from reading")
 {
   ReaderDuty duty(OWN, 1);
   duty.OnReaderBeat(BETTER, Milliseconds(3000), START);
   CHECK(duty.Reads());
 }
 
-TEST_CASE("Processes that wait do not all begin at the same moment")
+TEST_CASE("Waiting processes do not all start to read at the same moment")
 {
   ReaderDuty first(OWN, 1);
   ReaderDuty second(OWN + 1, 2);
@@ -140,7 +140,7 @@
   CHECK(first.NextWakeup() != second.NextWakeup());
 }
 
-TEST_CASE("A reader that asks as often as it should is never taken for one that is cut off")
+TEST_CASE("A reader that polls at the required interval is never taken to be cut off")
 {
   static constexpr Milliseconds BEAT_PERIOD = Milliseconds(300);
   static constexpr Milliseconds CALL_TIME = Milliseconds(20);
@@ -152,7 +152,7 @@
     CHECK(period <= drain_within * 3 / 10);
     ReaderDuty duty(OWN, 1);
     Common::TimePoint answered = START;
-    // The beat behind each answer is lost; the next one tells its age.
+    // The heartbeat after each answer is lost; the next heartbeat reports the age of the answer.
     for (int i = 0; i < 50; ++i)
     {
       for (Common::TimePoint now = answered + BEAT_PERIOD; now < answered + period + CALL_TIME;
@@ -164,7 +164,7 @@
   }
 }
 
-TEST_CASE("A platform that answers nobody is asked by few of a hall")
+TEST_CASE("A platform that answers no process is queried by only a few processes of a hall")
 {
   Hall hall(30);
   hall.RunFor(Milliseconds(1000));
@@ -173,14 +173,14 @@
   hall.RunFor(Milliseconds(2500));
   hall.reading_time = {};
 
-  SUBCASE("though each of the others has a turn, as it may refuse some machines only")
+  SUBCASE("and every other process takes a turn, as the platform may refuse only some instances")
   {
     hall.RunFor(std::chrono::minutes(3));
     CHECK(hall.reading_time / std::chrono::minutes(3) < 8);
     for (const Hall::Process& process : hall.processes)
       CHECK((process.duty.Reads() || process.begun > 0));
   }
-  SUBCASE("and once it answers again, one reader is left at once")
+  SUBCASE("and once the platform answers again, one reader remains within 400 ms")
   {
     hall.RunFor(Milliseconds(4000));
     hall.is_platform_up = true;
@@ -191,7 +191,7 @@
   }
 }
 
-TEST_CASE("A platform that refuses a third of the machines is read by another one soon")
+TEST_CASE("A platform that refuses a third of the instances is soon read by another instance")
 {
   for (std::uint64_t seed = 0; seed < 20; ++seed)
   {
@@ -210,7 +210,7 @@
   }
 }
 
-TEST_CASE("A process that has just started gives others a moment to tell what they know")
+TEST_CASE("A process that has just started waits briefly for the state of other processes")
 {
   ReaderDuty duty(OWN, 1);
   duty.WaitToBeTold(START);
@@ -218,12 +218,12 @@
   CHECK_FALSE(duty.IsFollowing());
   CHECK_FALSE(Begins(duty, START + Milliseconds(19)));
 
-  SUBCASE("and reads the platform when nobody does")
+  SUBCASE("and reads the platform if no other process does")
   {
     CHECK(duty.NextWakeup() <= START + Milliseconds(250));
     CHECK(Begins(duty, START + Milliseconds(250)));
   }
-  SUBCASE("one after the other when many start together")
+  SUBCASE("with jitter, so that many processes that start together read at different times")
   {
     std::set<Common::TimePoint> begun;
     for (std::uint64_t seed = 0; seed < 100; ++seed)
@@ -234,12 +234,12 @@
     }
     CHECK(begun.size() > 60);
   }
-  SUBCASE("at once if no other process of its hall is known")
+  SUBCASE("or reads immediately if no other process of its hall is known")
   {
     duty.OnAlone(START + Milliseconds(5));
     CHECK(Begins(duty, START + Milliseconds(5)));
   }
-  SUBCASE("and leaves it to a reader whose beat comes")
+  SUBCASE("and follows a reader whose heartbeat arrives")
   {
     duty.OnReaderBeat(WORSE, Milliseconds(50), START + Milliseconds(30));
     CHECK(duty.IsFollowing());
--- a/Source/UnitTests/Core/Control/TargetListTest.cpp
+++ b/Source/UnitTests/Core/Control/TargetListTest.cpp
@@ -26,7 +26,8 @@
   return {id, std::nullopt};
 }
 
-// A list of three targets, one of them leaving, after which the platform is away for a while.
+// A list of three targets, one of them leaving, followed by an outage of the platform of the given
+// length.
 struct Outage
 {
   explicit Outage(Common::Duration time)
@@ -64,13 +65,13 @@
   {
     CHECK_FALSE(f.Has("c"));
   }
-  SUBCASE("an entry that cannot be read names no target at once")
+  SUBCASE("a record that cannot be parsed removes its target immediately")
   {
     f.Read({{"a", std::nullopt, Removal::Unreadable}});
     CHECK_FALSE(f.Has("a"));
     CHECK(f.Has("b"));
   }
-  SUBCASE("those that write them anew stay, the others are gone after a while")
+  SUBCASE("targets that write their records again stay, and the others are removed after a delay")
   {
     f.now += Milliseconds(1800);
     f.Read({Listed("a")});
@@ -82,16 +83,16 @@
     REQUIRE(f.list.LastNews().changes.size() == 1);
     CHECK(f.list.LastNews().changes[0].id == "b");
   }
-  SUBCASE("one that says it leaves when it is back is believed")
+  SUBCASE("a target that comes back as leaving is removed when its record goes")
   {
     f.Read({Listed("a", Gateway::TargetState::Leaving), Gone("a")});
     CHECK_FALSE(f.Has("a"));
   }
 }
 
-TEST_CASE("Where few records are gone after an outage, their targets have left")
+TEST_CASE("When few records are gone after an outage, their targets have left")
 {
-  // As after a cut of this machine alone: the platform went on without it.
+  // Only this instance was cut off from the platform, which continued to work for the others.
   Outage f(Milliseconds(5000));
   f.Read({Listed("d"), Listed("e")});
   f.list.OnReadFailed(f.now);
@@ -101,7 +102,7 @@
   CHECK(f.Has("b"));
 }
 
-TEST_CASE("The same holds when the whole list has to be read anew")
+TEST_CASE("Lapsed records are also tolerated when the full list is read again after an outage")
 {
   Outage f(Milliseconds(5000));
   f.Read({Listed("b")}, true);
@@ -112,7 +113,7 @@
   CHECK(f.Has("b"));
 }
 
-TEST_CASE("A record that goes while the platform answers is the end of its target")
+TEST_CASE("A record that disappears while the platform answers removes its target")
 {
   SUBCASE("after a short failure")
   {
@@ -120,7 +121,7 @@
     f.Read({Gone("a")});
     CHECK_FALSE(f.Has("a"));
   }
-  SUBCASE("a while after an outage")
+  SUBCASE("2.4 seconds after an outage")
   {
     Outage f(Milliseconds(5000));
     f.Read({});
--- a/Source/UnitTests/Core/Control/VersionAgesTest.cpp
+++ b/Source/UnitTests/Core/Control/VersionAgesTest.cpp
@@ -3,7 +3,7 @@
 
 #include "FollowerFixture.h"
 
-// Since when versions are known that a follower reads.
+// Tests since when the versions that a follower reads are known.
 using namespace Holdpost;
 using namespace Holdpost::Control;
 using Common::Error;
@@ -35,20 +35,20 @@
 }
 } // namespace
 
-TEST_CASE("A version is named when the platform's answer was sent, not when it came")
+TEST_CASE("A version counts as named when the platform sent its answer, not when it arrived")
 {
   Fixture f;
   f.Tick();
   f.follower.OnOperatorRead(MakeRead(1, 9), f.now);
   f.now += Milliseconds(30);
   f.follower.OnTargetsRead(TargetsRead{true, {}, 1}, f.now);
-  SUBCASE("by what the last read of the list took")
+  SUBCASE("the delay is the duration of the last read of the target list")
   {
     f.Tick(Milliseconds(100));
     f.follower.OnOperatorRead(NameVersion(2, 2, 10), f.now);
     CHECK(SinceOf(f, 2) == KnownSince{f.now - Milliseconds(30)});
   }
-  SUBCASE("by how long the present one is open already")
+  SUBCASE("the delay is the time for which the current read of the target list is open")
   {
     f.Tick(Milliseconds(600));
     f.now += Milliseconds(450);
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_CASE("A version that was named before the start is as old as it may be")
+TEST_CASE("A version that was named before the start is assumed to have the maximum age")
 {
   FollowerOptions options;
   options.assumed_age = AssumedAge(Milliseconds(10000), Milliseconds(4000));
@@ -66,17 +66,17 @@
   f.follower = ControlFollower(options, 1);
   f.Tick();
   f.now += Milliseconds(700);
-  SUBCASE("if nobody tells since when it is known")
+  SUBCASE("if no process reports since when the version is known")
   {
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     CHECK(SinceOf(f, 2) == KnownSince{START - Milliseconds(6000), true});
-    SUBCASE("until a process that knew of the naming tells")
+    SUBCASE("until a process that saw the naming reports its time")
     {
       const KnownSince seen{START - Milliseconds(1000)};
       CHECK(f.follower.OfferWeights({"m", 2}, seen));
       CHECK(SinceOf(f, 2) == seen);
     }
-    SUBCASE("and the next one is named when it is read")
+    SUBCASE("and the next version counts as named when it is read")
     {
       f.Tick();
       f.now += Milliseconds(2000);
@@ -87,7 +87,7 @@
       CHECK(SinceOf(f, 3) == KnownSince{f.now});
     }
   }
-  SUBCASE("also if another process that does not know it has told of the version before")
+  SUBCASE("also if another process that did not see the naming has announced the version before")
   {
     const KnownSince assumed{START - Milliseconds(5500), true};
     f.follower.OfferWeights({"m", 2}, assumed);
@@ -95,17 +95,18 @@
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     CHECK(SinceOf(f, 2) == assumed);
   }
-  SUBCASE("unless another process has told of all versions until a moment ago, but not of it")
+  SUBCASE(
+      "unless another process has recently announced all versions, and this one was not among them")
   {
     const Common::TimePoint told = f.now - Milliseconds(300);
     f.follower.OnToldAll(told);
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
-    // The list was asked for at the start and has not come yet.
+    // The list was requested at the start, and its answer has not arrived yet.
     CHECK(SinceOf(f, 2) == KnownSince{START});
   }
 }
 
-TEST_CASE("What the reader before has missed was named after it last told")
+TEST_CASE("A version that the previous reader missed was named after its last announcement")
 {
   constexpr Milliseconds ASSUMED_AGE{6000};
   Fixture f;
@@ -118,18 +119,18 @@
   f.follower.SetReading(true);
   f.Tick();
   f.follower.OnTargetsRead(TargetsRead{true, {}, 1}, f.now);
-  SUBCASE("if that is not long ago")
+  SUBCASE("if the last announcement is recent")
   {
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     CHECK(SinceOf(f, 2) == KnownSince{told});
   }
-  SUBCASE("after a long silence it may have been named at any time since")
+  SUBCASE("after a long silence the version may have been named at any time since")
   {
     f.now += Milliseconds(9000);
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     CHECK(SinceOf(f, 2) == KnownSince{f.now - ASSUMED_AGE, true});
   }
-  SUBCASE("but not while the platform refused what was asked")
+  SUBCASE("but not while the platform refused requests")
   {
     f.now += Milliseconds(8000);
     f.follower.OnOperatorRead(Error{ErrorKind::PlatformUnavailable, "timeout"}, f.now);
@@ -186,21 +187,22 @@
   }
 }
 
-TEST_CASE("A process that the platform has never answered vouches for no naming")
+TEST_CASE("A process that the platform has never answered gives no evidence about namings")
 {
   FollowerOptions options;
   options.assumed_age = AssumedAge(Milliseconds(10000), Milliseconds(4000));
   Fixture f;
   f.follower = ControlFollower(options, 1);
   f.Tick();
-  // As GatewayControl tells it of a reader without an answer yet.
+  // GatewayControl reports this time for a reader that has received no answer yet.
   f.follower.OnToldAll(f.now - std::chrono::hours(1));
   f.now += Milliseconds(200);
   f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
   CHECK(SinceOf(f, 2) == KnownSince{START - Milliseconds(6000), true});
 }
 
-TEST_CASE("A process that stood still while the list was read takes no later version to be older")
+TEST_CASE(
+    "A process that was suspended during a read of the list takes no later version to be older")
 {
   Fixture f;
   f.Tick();
@@ -208,23 +210,23 @@
   f.now += Milliseconds(30);
   f.follower.OnTargetsRead(TargetsRead{true, {}, 1}, f.now);
   f.Tick(Milliseconds(600));
-  // Nothing ran, so no answer was under way for so long.
+  // The process was suspended, so no answer was in transit for that long.
   f.now += Milliseconds(8000);
   f.follower.OnTargetsRead(TargetsRead{false, {}, 1}, f.now);
   f.Tick(Milliseconds(100));
   f.follower.OnOperatorRead(NameVersion(2, 2, 10), f.now);
-  // A read that gets no byte is given up after a second.
+  // A read that receives no byte is aborted after one second.
   CHECK(SinceOf(f, 2).time >= f.now - Milliseconds(1000));
 }
 
-TEST_CASE("What is read on after others had told was named after they last did")
+TEST_CASE("A version that is read after others stopped announcing was named after they last did")
 {
   Fixture f;
   f.Tick();
   f.follower.OnOperatorRead(MakeRead(1, 9), f.now);
   f.follower.OnTargetsRead(TargetsRead{true, {}, 1}, f.now);
-  // As in SidecarNode: gateways of the hall tell, and the follower is left alone until they are
-  // silent for 1.5 s.
+  // This is the case of SidecarNode: gateways of the hall announce versions, and the follower is
+  // not ticked until they have been silent for 1.5 s.
   f.now += Milliseconds(30000);
   const Common::TimePoint told = f.now;
   f.follower.OnToldAll(told);
