--- a/Source/Core/Mesh/Briefing.cpp
+++ b/Source/Core/Mesh/Briefing.cpp
@@ -10,16 +10,17 @@
 using Common::TimePoint;
 
 static constexpr Milliseconds NEAR_PERIOD = Milliseconds(400);
-// Bytes between halls are dear, and sidecars elsewhere have gateways of their own.
+// Traffic between halls is expensive, and sidecars of other halls have gateways of their own.
 static constexpr Milliseconds FAR_PERIOD = Milliseconds(1000);
-// A gateway that does not read the platform gives the one that does so much time to tell of what is
-// new, and some more, so that not all tell at once.
+// A gateway that does not read the platform waits this long, plus jitter, before it sends a changed
+// briefing, so that the gateway that reads the platform can send it first and the others do not all
+// send at once.
 static constexpr Milliseconds OTHERS_TIME = Milliseconds(200);
 static constexpr int OTHERS_JITTER_MS = 400;
-// A longer way than this is a mistake of one of the clocks.
+// A longer round trip is taken to be an error of one of the clocks.
 static constexpr Milliseconds ROUND_TRIP_MOST = Milliseconds(60000);
 
-// Fits into 32 bits for 49 days, and wraps then.
+// The value fits into 32 bits for 49 days and wraps around after that.
 Milliseconds ClockOf(TimePoint now)
 {
   const auto ms = std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count();
@@ -83,7 +84,7 @@
     TellSoon();
 }
 
-// The last versions of the model, as they are told at the moment.
+// Appends the newest versions of the model with their ages at `now`.
 static void AppendTold(const std::string& model, const Control::NamedVersions& versions,
                        TimePoint now, std::vector<ToldWeights>* told)
 {
--- a/Source/Core/Mesh/Briefing.h
+++ b/Source/Core/Mesh/Briefing.h
@@ -12,8 +12,9 @@
 #include "Core/Control/NamedVersions.h"
 #include "Core/Mesh/MeshMessages.h"
 
-// What a gateway tells the sidecars of its service again and again: the plan of the weights, the
-// versions that were named, and who the other sidecars are.
+// The hellos that a gateway sends periodically to the sidecars of its service. They contain the
+// named versions of the weights and, as the briefing, the weights plan and the list of the other
+// sidecars.
 namespace Holdpost::Mesh
 {
 struct Outgoing
@@ -22,63 +23,64 @@
   Message message;
 };
 
-// A process's clock as it is told to others, who give it back.
+// The local clock as it is sent to other processes, which echo it.
 Common::Milliseconds ClockOf(Common::TimePoint now);
-// How long a hello and its report were on their way; empty if the report answers no hello.
+// The round-trip time of a hello and its load report; empty if the report answers no hello.
 std::optional<Common::Milliseconds> RoundTrip(const LoadReport& report, Common::TimePoint now);
 
-// What a gateway does with the targets of its service.
+// How a gateway uses the targets of its service.
 struct TargetUse
 {
-  // The sidecars of those that it sends to; empty for all.
+  // The sidecars of the targets that the gateway sends requests to; empty for all sidecars.
   std::set<Common::Address> sidecars;
-  // Targets of other halls are needed, too.
+  // Whether targets of other halls are needed too.
   bool needs_other_halls = false;
   Gateway::OwnDemand demand;
-  // Gateways of the own hall, this one included.
+  // The number of gateways of the local hall, including this one.
   std::uint32_t near_gateways = 1;
 };
 
-// Hellos are short: the plan and the peers go to those that are new, and to those that say that
-// they lack what is newer. The gateway that reads the platform is the first to tell; the others
-// give it time for that.
+// Keeps hellos small: the briefing goes only to sidecars that are new or report an outdated stamp.
+// The gateway that reads the platform sends a changed briefing first; the other gateways leave it
+// time for that.
 class Briefing
 {
 public:
-  // `seed` is for the time that others are given.
+  // `seed` is for the jitter of the time that a gateway leaves to the reader.
   explicit Briefing(std::string hall, std::uint64_t seed = 0)
       : m_hall(std::move(hall)), m_random(seed)
   {
   }
 
   void SetSettings(Settings::DocumentVersion version) { m_settings = version; }
-  // Each is told at once if it is new. `settings` and `changed` are what it was read from.
+  // Each of these is sent immediately if it has changed. `settings` and `changed` are the settings
+  // version and the target list position from which it was read.
   void SetPlan(const WeightsPlan& plan, Settings::DocumentVersion settings, Common::TimePoint now);
   void SetSidecars(const std::vector<Peer>& sidecars, Control::Position changed,
                    Common::TimePoint now);
   void SetWeights(const Control::NamedWeights& named, const Control::KnownSince& since);
-  // News of whether other halls are needed is told at once.
+  // The hellos to other halls are sent immediately when targets there become needed.
   void SetUse(TargetUse use);
   // Whether this gateway reads the platform for its hall.
   void SetReads(bool reads) { m_reads = reads; }
-  // A sidecar has said what it was last told.
+  // Records the stamp of the last briefing that a sidecar received, as the sidecar reports it.
   void OnReported(const Common::Address& sidecar, const BriefingStamp& stamp,
                   Common::TimePoint now);
 
-  // What a sidecar that has been told nothing needs.
+  // The hello with the briefing, for a sidecar that has received nothing yet.
   Hello WholeHello(Common::TimePoint now) const;
-  // The versions of weights that are told at the moment.
+  // The versions of weights that are sent in hellos, with their ages at `now`.
   std::vector<ToldWeights> ToldAt(Common::TimePoint now) const;
   void OnTick(Common::TimePoint now, std::vector<Outgoing>* outgoing);
   Common::TimePoint NextWakeup() const;
 
 private:
-  // What a sidecar knows, as far as it has said.
+  // The briefing state of a sidecar.
   struct Briefed
   {
     BriefingStamp stamp;
     Common::TimePoint reported_at{};
-    // The last that it was told, and when.
+    // The stamp of the last briefing that was sent to the sidecar, and the time of sending.
     BriefingStamp told;
     Common::TimePoint told_at{};
   };
@@ -90,7 +92,7 @@
             std::vector<Outgoing>* outgoing);
   void TellNew(Common::TimePoint now, std::vector<Outgoing>* outgoing);
   void TellUsed(bool is_near, Common::TimePoint now, std::vector<Outgoing>* outgoing);
-  // Whether the sidecar is to be told the plan and the peers.
+  // Whether the next hello to the sidecar has to contain the briefing.
   bool NeedsWhole(const Peer& sidecar, Common::TimePoint now) const;
   bool IsUsed(const Peer& sidecar) const;
   bool WantsLoad(const Peer& sidecar) const;
@@ -102,11 +104,12 @@
   Settings::DocumentVersion m_settings = 0;
   WeightsPlan m_plan;
   std::vector<Peer> m_sidecars;
-  // Of the plan and the sidecars, and when others that lack it may be told.
+  // The stamp of the plan and the sidecars, and the time from which a gateway that does not read
+  // the platform may send them to sidecars that lack them.
   BriefingStamp m_stamp;
   Common::TimePoint m_others_due{};
   std::map<std::string, Control::NamedVersions> m_weights; // by model
-  std::map<Common::Address, Briefed> m_briefed;            // of this hall
+  std::map<Common::Address, Briefed> m_briefed;            // sidecars of the local hall
   bool m_has_new_sidecars = false;
   Common::TimePoint m_near_due{};
   Common::TimePoint m_far_due{};
--- a/Source/Core/Mesh/GatewayCount.h
+++ b/Source/Core/Mesh/GatewayCount.h
@@ -6,15 +6,15 @@
 
 #include "Common/Types.h"
 
-// How many gateways there are, as sidecars count them.
+// The number of gateways of all halls, as sidecars count them.
 namespace Holdpost::Mesh
 {
-// A sidecar that is cut off from some gateways counts too few, so the largest count of late is
-// taken.
+// A sidecar that is cut off from some gateways reports too low a count, so the maximum of the
+// current and the previous window is used.
 class GatewayCount
 {
 public:
-  // Returns the count in force after the report.
+  // Returns the count that is in use after the report.
   std::size_t OnReported(std::size_t count, Common::TimePoint now)
   {
     if (now - m_window_began > WINDOW)
--- a/Source/Core/Mesh/GatewayDirectory.cpp
+++ b/Source/Core/Mesh/GatewayDirectory.cpp
@@ -7,9 +7,9 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// Gateways that read the platform ask every two seconds: two of these may be lost.
+// Gateways that read the platform send a request every two seconds, and two of these may be lost.
 static constexpr Milliseconds LIFETIME = Milliseconds(6500);
-// More would not fit into one datagram, and a newcomer needs only some of them.
+// More addresses would not fit into one datagram, and a new process needs only some of them.
 static constexpr std::size_t NAMED_MOST = 40;
 
 void GatewayDirectory::OnGatewayAsked(const Sender& gateway, TimePoint now)
--- a/Source/Core/Mesh/GatewayDirectory.h
+++ b/Source/Core/Mesh/GatewayDirectory.h
@@ -8,16 +8,17 @@
 #include "Common/Types.h"
 #include "Core/Mesh/MeshMessages.h"
 
-// Which gateways of each hall have asked a seed for the others of late, so that processes that have
-// just started find each other before any list of targets is known.
+// The directory that a seed keeps of the gateways of each hall that have recently asked it for
+// other gateways. With it, processes that have just started find each other before any target list
+// is known.
 namespace Holdpost::Mesh
 {
 class GatewayDirectory
 {
 public:
-  // Remembers a gateway that asked.
+  // Records a gateway that sent a request.
   void OnGatewayAsked(const Sender& gateway, Common::TimePoint now);
-  // Gateways of the hall that have asked of late, the one at `except` left out.
+  // Returns gateways of the hall that have sent a request recently, without the one at `except`.
   std::vector<Common::Address> Of(const std::string& hall, const Common::Address& except,
                                   Common::TimePoint now);
 
--- a/Source/Core/Mesh/GatewayMembership.h
+++ b/Source/Core/Mesh/GatewayMembership.h
@@ -12,8 +12,8 @@
 #include "Core/Mesh/MeshMessages.h"
 #include "Core/Mesh/SeedSearch.h"
 
-// What a gateway knows of the others: those of its own hall by address, those of all halls by
-// count. Seeds name them after a start, and sidecars from then on.
+// What a gateway knows of the other gateways: the addresses of those in its own hall, and the
+// number of those in all halls. After a start the addresses come from seeds, later from sidecars.
 namespace Holdpost::Mesh
 {
 class GatewayMembership
@@ -26,19 +26,19 @@
   }
 
   void SetSeeds(std::vector<Common::Address> seeds) { m_search.SetSeeds(std::move(seeds)); }
-  // Gateways of the own hall, as others name them or they do so themselves. Returns whether one of
-  // them was not known.
+  // Adds gateways of the local hall, as other processes list them or as they announce themselves.
+  // Returns whether one of them was not known.
   bool OnNamed(const std::vector<Common::Address>& gateways, Common::TimePoint now);
-  // A sidecar has counted the gateways of all halls; returns the counts in force.
+  // Applies a sidecar's count of the gateways of all halls; returns the counts that are in use.
   Gateway::GatewayCounts OnCounted(std::size_t all, Common::TimePoint now);
-  // A process asks for the gateways of its hall.
+  // Answers a process that asks for the gateways of its hall.
   TellGateways OnAsked(const Sender& from, const AskGateways& ask, Common::TimePoint now);
 
-  // The others of the own hall.
+  // The other gateways of the local hall.
   std::vector<Common::Address> Others(Common::TimePoint now) { return m_others.Others(now); }
-  // Those of the own hall, this one included, when they were last counted.
+  // The number of gateways of the local hall, including this one, at the time of the last count.
   std::size_t Near() const { return m_near; }
-  // Seeds to ask for the others, as long as no beat of a reader comes.
+  // The seeds to ask for other gateways now, as long as no reader's heartbeat is received.
   std::vector<Common::Address> SeedsToAsk(bool knows_reader, Common::TimePoint now)
   {
     return m_search.OnTick(knows_reader, now);
--- a/Source/Core/Mesh/HallGateways.h
+++ b/Source/Core/Mesh/HallGateways.h
@@ -6,7 +6,7 @@
 
 #include "Common/Types.h"
 
-// The other gateways of a hall, as its sidecars tell of them.
+// The other gateways of a hall, as the sidecars of the hall list them.
 namespace Holdpost::Mesh
 {
 class HallGateways
@@ -14,7 +14,7 @@
 public:
   explicit HallGateways(Common::Address self) : m_self(std::move(self)) {}
 
-  // Returns whether one of them was not known.
+  // Adds gateways or renews their time; returns whether one of them was not known.
   bool OnListed(const std::vector<Common::Address>& gateways, Common::TimePoint now)
   {
     bool is_any_new = false;
@@ -27,7 +27,7 @@
     }
     return is_any_new;
   }
-  // A gateway that no sidecar tells of any more is left out after a while.
+  // Returns the other gateways, without those that no sidecar has listed for LIFETIME.
   std::vector<Common::Address> Others(Common::TimePoint now)
   {
     std::erase_if(m_last_seen, [now](const auto& entry) { return now - entry.second > LIFETIME; });
--- a/Source/Core/Mesh/MeshMessages.h
+++ b/Source/Core/Mesh/MeshMessages.h
@@ -15,28 +15,29 @@
 #include "Core/Distribution/Actions.h"
 #include "Core/Gateway/Target.h"
 
-// What gateways and sidecars tell each other.
+// The messages between gateways and sidecars.
 namespace Holdpost::Mesh
 {
 struct Sender
 {
   std::string instance;
   std::string hall;
-  // Where the sender takes messages.
+  // The address at which the sender receives messages.
   Common::Address address;
-  // Grows with each start under the same name.
+  // Increases with each start under the same instance name.
   std::uint64_t incarnation = 0;
 };
 
-// The last versions of a model that are told: pushes of the ones before may still be under way.
+// The number of newest versions of a model that are sent to other processes. There are several,
+// because pushes of the previous versions may still be in progress.
 inline constexpr std::size_t VERSIONS_TOLD = 3;
 
-// Named weights, and how long they are known to any process.
+// A named version of weights, and how long any process has known it.
 struct ToldWeights
 {
   Control::NamedWeights named;
   Common::Milliseconds known{0};
-  // No process that knew of the naming itself has been heard of.
+  // Whether the age is assumed because no process that saw the naming itself has reported it.
   bool is_assumed = false;
 
   static ToldWeights Of(const std::string& model, std::uint64_t version,
@@ -48,7 +49,7 @@
   Control::KnownSince Since(Common::TimePoint now) const { return {now - known, is_assumed}; }
 };
 
-// What a sidecar needs to know of its service's model.
+// What a sidecar needs to know about the model of its service.
 struct WeightsPlan
 {
   std::string service;
@@ -58,15 +59,15 @@
   Common::Milliseconds warm_up{0};
   Common::Address origin;
   std::string origin_hall;
-  // Of the origin's link; 0 if not known.
+  // The bandwidth of the origin's link; 0 if unknown.
   std::uint64_t origin_bytes_per_second = 0;
-  // The page at which the service's targets say who they are; empty if there is none.
+  // The HTTP path at which the targets of the service identify themselves; empty if there is none.
   std::string health_path = {};
 
   bool operator==(const WeightsPlan&) const = default;
 };
 
-// A sidecar, by the address where it takes messages.
+// A sidecar, identified by the address at which it receives messages.
 struct Peer
 {
   Common::Address address;
@@ -75,10 +76,12 @@
   auto operator<=>(const Peer&) const = default;
 };
 
-// What a plan and a list of peers were read from. Both only rise.
+// The versions of the state from which a briefing, which is a weights plan and a list of peers, was
+// read. Neither of them decreases.
 struct BriefingStamp
 {
-  // The settings by which the plan changed last, and the last change in the list of targets.
+  // The settings version that last changed the plan, and the position of the last change in the
+  // target list.
   Settings::DocumentVersion settings = 0;
   Control::Position targets = 0;
 
@@ -89,50 +92,54 @@
   }
 };
 
-// Sent by every process to those that need it, again and again: datagrams may be lost.
+// Sent periodically by every process to those that need it, because datagrams may be lost.
 struct Hello
 {
   bool is_gateway = false;
   Settings::DocumentVersion settings = 0;
   std::vector<ToldWeights> weights;
-  WeightsPlan plan; // without a model if the sender knows none, or the receiver has it
-  // The sidecars of the plan's service; empty with an empty plan.
+  WeightsPlan plan; // has no model if the sender knows none or the receiver has the plan
+  // The sidecars of the plan's service; empty if the plan is empty.
   std::vector<Peer> peers;
-  // Of the plan and the peers.
+  // The stamp of the plan and the peers.
   BriefingStamp stamp;
-  // The sender's clock, which a load report gives back: so the sender learns how long the way
-  // takes.
+  // The sender's clock, which a load report echoes so that the sender can measure the round-trip
+  // time.
   Common::Milliseconds clock{0};
-  // The sender sends to the receiver's target, and needs each load report.
+  // Whether the sender sends requests to the receiver's target and therefore needs every load
+  // report.
   bool wants_load = false;
-  // What comes to the sender for engines.
+  // The arrivals at the sender for engines.
   Gateway::OwnDemand demand;
-  // Gateways of the sender's hall, this one included.
+  // The number of gateways of the sender's hall, including the sender.
   std::uint32_t near_gateways = 0;
 };
 
-// What a gateway has at the receiver's target, told whenever that changes.
+// The work that a gateway has at the receiver's target, sent whenever it changes.
 struct TellWork
 {
   Gateway::OwnWork work;
 };
 
-// A sidecar's report of its target.
+// A sidecar's report about its target.
 struct LoadReport
 {
   Gateway::TargetLoad load;
-  // Gateways of all halls, as the sidecar counts them.
+  // The number of gateways of all halls, as the sidecar counts them.
   std::uint32_t gateways = 0;
-  // Of the plan and the peers that the sidecar was last told.
+  // The stamp of the plan and the peers that the sidecar last received.
   BriefingStamp stamp;
-  // The newest settings that one of them told of, and which one did.
+  // The newest settings version that a gateway has announced to the sidecar, and the address of
+  // that gateway.
   Settings::DocumentVersion settings = 0;
   Common::Address settings_at;
-  // The last weights that were named for the target's model, while that is not long ago.
+  // The newest versions named for the target's model, sent only for a limited time after the
+  // naming.
   std::vector<ToldWeights> weights;
-  // From time to time, the gateways of the sidecar's hall, for gateways there.
+  // The gateways of the sidecar's hall, sent periodically to gateways of that hall.
   std::vector<Common::Address> near_gateways;
-  // The clock of the receiver's last hello, and how long ago that came; zero if none came.
+  // The clock from the receiver's last hello, and the time since that hello arrived; zero if none
+  // arrived.
   Common::Milliseconds echo{0};
   Common::Milliseconds echo_age{0};
 };
@@ -144,7 +151,7 @@
 
 struct AskPiece
 {
-  std::uint64_t id = 0; // chosen by the one that asks
+  std::uint64_t id = 0; // chosen by the sender of the request
   Common::Digest version;
   std::uint32_t piece = 0;
 };
@@ -160,7 +167,7 @@
   Common::Result<Common::Bytes> result;
 };
 
-// Wants a settings document newer than this version.
+// Requests a settings document that is newer than this version.
 struct AskDocument
 {
   Settings::DocumentVersion newer_than = 0;
@@ -169,14 +176,16 @@
 struct TellDocument
 {
   Settings::DocumentVersion version = 0;
-  // The text as the platform wrote it, packed next to the text of the base; 0 for none.
+  // The document's text as the platform wrote it, compressed relative to the text of version
+  // `base`; `base` is 0 if there is none.
   Settings::DocumentVersion base = 0;
   Common::Bytes packed;
-  // The last versions that the sender knows of: who knows the settings uses targets by them.
+  // The newest versions that the sender knows. The receiver needs them as soon as it has the
+  // settings, because it selects targets by them.
   std::vector<ToldWeights> weights = {};
 };
 
-// Wants a list of targets that was read further than this position.
+// Requests a target list that was read further than this position.
 struct AskTargets
 {
   Control::Position newer_than = 0;
@@ -187,32 +196,33 @@
   Control::TargetsNews news;
 };
 
-// A gateway that reads the platform for its hall says how far it is, again and again.
+// Sent periodically by a gateway that reads the platform for its hall; reports how far it has read.
 struct ReaderBeat
 {
   Control::Position targets = 0;
-  // The last change in the list of targets.
+  // The position of the last change in the target list.
   Control::Position targets_changed = 0;
   Settings::DocumentVersion settings = 0;
   std::vector<ToldWeights> weights;
-  // How long ago the platform last answered it.
+  // The time since the platform last answered this gateway.
   Common::Milliseconds answer_age{0};
 };
 
-// Asked of a seed: which gateways the sender's hall has.
+// Asks a seed for the gateways of the sender's hall.
 struct AskGateways
 {
-  // The sender is a gateway itself, and is named to others from then on.
+  // Whether the sender is a gateway, which the seed then lists for other processes.
   bool is_gateway = false;
 };
 
 struct TellGateways
 {
-  // Of the receiver's hall.
+  // The gateways of the receiver's hall.
   std::vector<Common::Address> gateways;
 };
 
-// A sidecar that no gateway has told of the plan and the peers asks for a hello with both.
+// Sent by a sidecar that has received the plan and the peers from no gateway; requests a hello with
+// both.
 struct AskBriefing
 {
 };
--- a/Source/Core/Mesh/SeedSearch.cpp
+++ b/Source/Core/Mesh/SeedSearch.cpp
@@ -7,14 +7,15 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// A process that has just started knows nothing, and waits for each answer.
+// A process that has just started has no state and waits for each answer.
 static constexpr Milliseconds START_PERIOD = Milliseconds(60);
 static constexpr Milliseconds START_TIME = Milliseconds(300);
-// Processes of a hall start within some 300 ms of each other, so that the first answers may name
-// none of them.
+// Processes of a hall start within about 300 ms of each other, so the first answers may list none
+// of them.
 static constexpr Milliseconds FIRST_PERIOD = Milliseconds(200);
 static constexpr Milliseconds FIRST_TIME = Milliseconds(3000);
-// After that a process that reads the platform for its hall keeps itself known to seeds.
+// After that, a process that reads the platform for its hall keeps asking at this interval, so that
+// seeds continue to list it.
 static constexpr Milliseconds PERIOD = Milliseconds(2000);
 
 std::vector<Address> SeedSearch::OnTick(bool is_found, TimePoint now)
--- a/Source/Core/Mesh/SeedSearch.h
+++ b/Source/Core/Mesh/SeedSearch.h
@@ -6,8 +6,8 @@
 
 #include "Common/Types.h"
 
-// Asks seeds for the gateways of the own hall for as long as none that helps is known. A seed is
-// the address of some gateway from the settings; it may be stale.
+// Asks seeds for the gateways of the local hall until a gateway is known that can help. A seed is
+// the address of a gateway from the settings; it may be stale.
 namespace Holdpost::Mesh
 {
 class SeedSearch
@@ -16,14 +16,14 @@
   explicit SeedSearch(std::vector<Common::Address> seeds) : m_seeds(std::move(seeds)) {}
 
   void SetSeeds(std::vector<Common::Address> seeds) { m_seeds = std::move(seeds); }
-  // The seeds that are to be asked now. `is_found`: a gateway that helps has sent something of
-  // late.
+  // Returns the seeds to ask now. `is_found` means that a gateway that can help has sent a message
+  // recently.
   std::vector<Common::Address> OnTick(bool is_found, Common::TimePoint now);
   Common::TimePoint NextWakeup() const;
 
 private:
   std::vector<Common::Address> m_seeds;
-  // Since when nothing was found; empty while something is.
+  // The time since which no such gateway is known; empty while one is.
   std::optional<Common::TimePoint> m_since;
   Common::TimePoint m_due{};
 };
--- a/Source/UnitTests/Core/Mesh/BriefingTest.cpp
+++ b/Source/UnitTests/Core/Mesh/BriefingTest.cpp
@@ -25,7 +25,7 @@
 }
 } // namespace
 
-TEST_CASE("Sidecars are greeted again and again, and told of the plan once")
+TEST_CASE("Sidecars receive hellos periodically, and the plan only once")
 {
   Briefing briefing("here");
   briefing.SetPlan(PLAN, 7, START);
@@ -35,7 +35,8 @@
   REQUIRE(out.size() == 2);
   CHECK(HelloTo(out, NEAR).plan.model == "m");
   CHECK(HelloTo(out, NEAR).stamp == BriefingStamp{7, 40});
-  // Bytes to other halls are dear: sidecars there only learn who is here.
+  // Traffic to other halls is expensive, so a hello to a sidecar there shows which gateways exist
+  // but contains neither the plan nor the peers.
   CHECK(HelloTo(out, FAR).plan.model.empty());
   CHECK(HelloTo(out, FAR).peers.empty());
   out.clear();
@@ -55,7 +56,7 @@
   CHECK(HelloTo(out, NEAR).peers.empty());
 }
 
-TEST_CASE("A sidecar that lacks what is newer is told again")
+TEST_CASE("A sidecar that lacks a newer plan or list of peers receives both again")
 {
   Briefing briefing("here");
   briefing.SetPlan(PLAN, 7, START);
@@ -72,7 +73,7 @@
   tick(Milliseconds(0));
   CHECK(is_told_all());
 
-  SUBCASE("as the message was lost, or it has started anew")
+  SUBCASE("because the message was lost or the sidecar has restarted")
   {
     briefing.OnReported(NEAR.address, {}, now);
     tick(Milliseconds(400));
@@ -81,22 +82,22 @@
     tick(Milliseconds(400));
     CHECK(!is_told_all());
   }
-  SUBCASE("but not of what is older than what it knows")
+  SUBCASE("but not if the sidecar knows a newer state")
   {
     briefing.OnReported(NEAR.address, {9, 41}, now);
     tick(Milliseconds(400));
     CHECK(!is_told_all());
   }
-  SUBCASE("the gateway that reads the platform is first with what is new")
+  SUBCASE("the gateway that reads the platform sends a change first")
   {
     briefing.OnReported(NEAR.address, {7, 40}, now);
-    SUBCASE("at once")
+    SUBCASE("immediately, if this gateway is the reader")
     {
       briefing.SetSidecars({NEAR, FAR}, 50, now);
       tick(Milliseconds(10));
       CHECK(is_told_all());
     }
-    SUBCASE("while the others give it time")
+    SUBCASE("after a delay, if another gateway is the reader")
     {
       briefing.SetReads(false);
       briefing.SetSidecars({NEAR, FAR}, 50, now);
@@ -105,13 +106,13 @@
       briefing.OnReported(NEAR.address, {7, 40}, now + Milliseconds(100));
       tick(Milliseconds(400));
       CHECK(!is_told_all());
-      // It still says that it lacks them.
+      // The sidecar still reports that it lacks the changes.
       briefing.OnReported(NEAR.address, {7, 40}, now + Milliseconds(300));
       tick(Milliseconds(400));
       CHECK(is_told_all());
     }
   }
-  SUBCASE("one that is new in the list is told at once, by all")
+  SUBCASE("a new sidecar in the list receives both immediately from every gateway")
   {
     briefing.OnReported(NEAR.address, {7, 40}, now);
     const Peer added{{"10.0.0.4", 7700}, "here"};
@@ -124,7 +125,8 @@
   }
 }
 
-TEST_CASE("Sidecars of targets in use are asked for each report, others are not greeted")
+TEST_CASE(
+    "Sidecars of targets in use are asked for every load report, and the others receive no hellos")
 {
   const Peer unused{{"10.0.0.3", 7700}, "there"};
   Briefing briefing("here");
@@ -138,7 +140,7 @@
   CHECK(HelloTo(out, FAR).demand.arrivals_per_second == 120);
   CHECK(HelloTo(out, FAR).near_gateways == 13);
 
-  SUBCASE("those of other halls as soon as they are needed")
+  SUBCASE("sidecars of other halls are asked as soon as their targets are needed")
   {
     out.clear();
     briefing.SetUse({{NEAR.address, FAR.address}, true, {}, 13});
@@ -154,18 +156,18 @@
   }
 }
 
-TEST_CASE("The way to a sidecar is known from its report")
+TEST_CASE("The round-trip time to a sidecar is measured from its load report")
 {
   LoadReport report;
   CHECK_FALSE(RoundTrip(report, START).has_value());
   report.echo = ClockOf(START);
   report.echo_age = Milliseconds(300);
   CHECK(RoundTrip(report, START + Milliseconds(310)) == Milliseconds(10));
-  // A clock that is ahead of ours cannot be right.
+  // A clock that is ahead of the local clock cannot be right.
   CHECK_FALSE(RoundTrip(report, START + Milliseconds(200)).has_value());
 }
 
-TEST_CASE("A sidecar that knows few gateways does not make them fewer")
+TEST_CASE("A sidecar that knows few gateways does not lower the count of gateways")
 {
   GatewayCount count;
   CHECK(count.OnReported(7, START) == 7);
@@ -174,7 +176,7 @@
   CHECK(count.OnReported(2, START + Milliseconds(5000)) == 2);
 }
 
-TEST_CASE("A sidecar that asks is told all that it needs, also if it is on no list yet")
+TEST_CASE("A sidecar that asks receives the plan and the peers, even if it is on no list yet")
 {
   Briefing briefing("here");
   CHECK(briefing.WholeHello(START).plan.model.empty());
--- a/Source/UnitTests/Core/Mesh/GatewayMembershipTest.cpp
+++ b/Source/UnitTests/Core/Mesh/GatewayMembershipTest.cpp
@@ -29,13 +29,13 @@
 const Address SEED = AddressOf(2);
 } // namespace
 
-TEST_CASE("A gateway asks seeds for the others until the beat of a reader comes")
+TEST_CASE("A gateway asks seeds for other gateways until it receives the heartbeat of a reader")
 {
   GatewayMembership membership(SELF, "here", {SEED});
   CHECK(membership.SeedsToAsk(false, START) == std::vector{SEED});
   CHECK(membership.SeedsToAsk(false, START + Milliseconds(50)).empty());
 
-  SUBCASE("often at first, as the others may have started a moment later")
+  SUBCASE("often at first, as the others may have started slightly later")
   {
     int asked = 0;
     for (int ms = 50; ms <= 1000; ms += 50)
@@ -43,7 +43,7 @@
     CHECK(asked >= 4);
     CHECK(asked <= 6);
   }
-  SUBCASE("seldom later: one that reads for its hall only keeps itself known")
+  SUBCASE("rarely later, when a gateway that reads for its hall only has to stay listed")
   {
     for (int ms = 50; ms <= 4000; ms += 50)
       membership.SeedsToAsk(false, START + Milliseconds(ms));
@@ -53,7 +53,7 @@
     CHECK(asked >= 4);
     CHECK(asked <= 5);
   }
-  SUBCASE("not while beats come, and at once when these stop")
+  SUBCASE("not while heartbeats arrive, and immediately when they stop")
   {
     CHECK(membership.SeedsToAsk(true, START + Milliseconds(300)).empty());
     CHECK(membership.NextWakeup() == Common::TimePoint::max());
@@ -61,38 +61,38 @@
   }
 }
 
-TEST_CASE("A seed names the gateways of a hall to those that ask")
+TEST_CASE("A seed lists the gateways of a hall for processes that ask")
 {
   GatewayMembership seed(SELF, "here", {});
   const auto ask = [&](const Sender& from, bool is_gateway, Common::TimePoint at)
   { return seed.OnAsked(from, {is_gateway}, at).gateways; };
 
-  SUBCASE("of its own hall, itself too")
+  SUBCASE("for a process of its own hall, including itself")
   {
     CHECK(ask(SenderAt("here", 3), true, START) == std::vector{SELF});
     CHECK(seed.Others(START) == std::vector{AddressOf(3)});
     const auto named = ask(SenderAt("here", 4), true, START);
     CHECK(named == std::vector{AddressOf(3), SELF});
   }
-  SUBCASE("of other halls, those that asked before")
+  SUBCASE("for a process of another hall, the gateways of that hall that asked before")
   {
     CHECK(ask(SenderAt("there", 3), true, START).empty());
     CHECK(ask(SenderAt("there", 4), true, START) == std::vector{AddressOf(3)});
     CHECK(ask(SenderAt("elsewhere", 5), true, START).empty());
     CHECK(seed.Others(START).empty());
   }
-  SUBCASE("sidecars ask, too, and are not named")
+  SUBCASE("sidecars may ask too, but are not listed")
   {
     ask(SenderAt("there", 3), false, START);
     CHECK(ask(SenderAt("there", 4), true, START).empty());
   }
-  SUBCASE("one that has not asked for some seconds is not named any more")
+  SUBCASE("a gateway that has not asked for 7 seconds is no longer listed")
   {
     ask(SenderAt("there", 3), true, START);
     CHECK(ask(SenderAt("there", 4), false, START + Milliseconds(6000)).size() == 1);
     CHECK(ask(SenderAt("there", 4), false, START + Milliseconds(7000)).empty());
   }
-  SUBCASE("so many at most that the answer fits into one datagram")
+  SUBCASE("no more than fit into one datagram")
   {
     for (int number = 10; number < 200; ++number)
       ask(SenderAt("there", number), true, START);
@@ -100,7 +100,7 @@
   }
 }
 
-TEST_CASE("Gateways that are named are counted, and new ones told apart")
+TEST_CASE("Listed gateways are counted, and new ones are recognised")
 {
   GatewayMembership membership(SELF, "here", {});
   CHECK(membership.OnNamed({AddressOf(3), AddressOf(4), SELF}, START));
@@ -109,9 +109,9 @@
   CHECK(membership.Near() == 3);
 }
 
-TEST_CASE("All gateways of a hall find each other through one seed within moments of a start")
+TEST_CASE("All gateways of a hall find each other through one seed within 600 ms of a start")
 {
-  // Started within 300 ms of each other, in any order, while no list of targets is known.
+  // The gateways start within 300 ms of each other, in any order, while no target list is known.
   static constexpr int GATEWAYS = 30;
   std::vector<GatewayMembership> gateways;
   gateways.reserve(GATEWAYS);
