--- a/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
+++ b/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
@@ -300,7 +300,7 @@
   CHECK(Take<ReadTargets>(f.actions).at(0).from == 5);
   CHECK(f.follower.OnTargetsRead(TargetsRead{false, {{"a", std::nullopt}}, 6}, f.now));
   CHECK(f.follower.Targets().size() == 1);
-  SUBCASE("a record that repeats the state of a target is not a change")
+  SUBCASE("a record that changes nothing is not reported as a change")
   {
     CHECK_FALSE(f.follower.OnTargetsRead(TargetsRead{false, {{"b", MakeTarget("b")}}, 7}, f.now));
   }
--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
@@ -173,7 +173,7 @@
   hall.RunFor(Milliseconds(2500));
   hall.reading_time = {};
 
-  SUBCASE("and every other process takes a turn, as the platform may refuse only some instances")
+  SUBCASE("and every other process takes a turn, as the platform may refuse only some of them")
   {
     hall.RunFor(std::chrono::minutes(3));
     CHECK(hall.reading_time / std::chrono::minutes(3) < 8);
@@ -191,7 +191,7 @@
   }
 }
 
-TEST_CASE("A platform that refuses a third of the instances is soon read by another instance")
+TEST_CASE("A platform that refuses a third of the processes is soon read by another process")
 {
   for (std::uint64_t seed = 0; seed < 20; ++seed)
   {
