--- a/Source/Core/Control/AnswerPacing.h
+++ b/Source/Core/Control/AnswerPacing.h
@@ -18,7 +18,8 @@
   // sent.
   bool Take(const Common::Address& peer, std::uint64_t version, Common::TimePoint now)
   {
-    std::erase_if(m_sent, [now](const auto& entry) { return now - entry.second.at >= PAUSE; });
+    std::erase_if(m_sent,
+                  [now](const auto& entry) { return now - entry.second.at >= RESEND_PAUSE; });
     const auto found = m_sent.find(peer);
     if (found != m_sent.end() && found->second.version >= version)
       return false;
@@ -27,7 +28,7 @@
   }
 
 private:
-  static constexpr Common::Milliseconds PAUSE = Common::Milliseconds(1500);
+  static constexpr Common::Milliseconds RESEND_PAUSE = Common::Milliseconds(1500);
 
   struct Sent
   {
--- a/Source/Core/Control/ControlFollower.cpp
+++ b/Source/Core/Control/ControlFollower.cpp
@@ -16,23 +16,23 @@
 using Common::TimePoint;
 using Common::Weight;
 
-static constexpr Duration PAUSE_LEAST = Milliseconds(100);
+static constexpr Duration MIN_PAUSE = Milliseconds(100);
 // The platform usually sends a change to all processes at nearly the same time, so it gets this
 // much time to deliver settings before a peer is asked for them.
 static constexpr Duration PLATFORM_HEAD_START = Milliseconds(300);
-static constexpr Duration ASK_PERIOD = Milliseconds(400);
-static constexpr Duration PAUSE_MOST = Milliseconds(1000);
+static constexpr Duration PEER_REQUEST_PERIOD = Milliseconds(400);
+static constexpr Duration MAX_PAUSE = Milliseconds(1000);
 
 Duration Backoff::Next()
 {
-  m_pause = std::clamp(m_pause * 2, PAUSE_LEAST, PAUSE_MOST);
+  m_pause = std::clamp(m_pause * 2, MIN_PAUSE, MAX_PAUSE);
   // The jittered pause lies between half of `m_pause` and all of it.
   const auto half = static_cast<std::uint64_t>(m_pause.count() / 2);
   return Duration(m_pause.count() / 2 + static_cast<Duration::rep>(m_random() % (half + 1)));
 }
 
 ControlFollower::ControlFollower(FollowerOptions options, std::uint64_t seed)
-    : m_options(options), m_naming(options.assumed_age), m_operator_backoff(seed),
+    : m_options(options), m_naming_tracker(options.assumed_age), m_operator_backoff(seed),
       m_targets_backoff(seed + 1)
 {
 }
@@ -40,20 +40,20 @@
 void ControlFollower::OnTick(TimePoint now, Actions* actions)
 {
   Begin(now);
-  if (!m_reads)
+  if (!m_is_reader)
     return;
   if (!m_is_reading_operator && now >= m_operator_due)
   {
     m_is_reading_operator = true;
     const bool has_state = m_operator_next > 0 && m_document;
-    m_naming.OnOperatorAsked(!has_state, now);
+    m_naming_tracker.OnOperatorRequested(!has_state, now);
     actions->push_back(ReadOperator{has_state ? m_operator_next : 0,
                                     has_state ? m_options.long_poll : Milliseconds(0)});
   }
   if (!m_is_reading_targets && now >= m_targets_due)
   {
     m_is_reading_targets = true;
-    m_naming.OnListAsked(now);
+    m_naming_tracker.OnListRequested(now);
     actions->push_back(ReadTargets{m_targets_next});
   }
 }
@@ -61,7 +61,7 @@
 TimePoint ControlFollower::NextWakeup() const
 {
   TimePoint next = TimePoint::max();
-  if (!m_reads)
+  if (!m_is_reader)
     return next;
   if (!m_is_reading_operator)
     next = std::min(next, m_operator_due);
@@ -70,9 +70,9 @@
   return next;
 }
 
-void ControlFollower::SetReading(bool reads)
+void ControlFollower::SetReading(bool is_reader)
 {
-  if (std::exchange(m_reads, reads) || !reads)
+  if (std::exchange(m_is_reader, is_reader) || !is_reader)
     return;
   // Only the newest state matters, not the changes that were written while another process was
   // reading. The target list is read in full, because the previous reader may have kept targets
@@ -99,7 +99,7 @@
   m_is_reading_operator = false;
   if (const auto* error = std::get_if<Error>(&result))
   {
-    m_naming.OnOperatorFailed(now);
+    m_naming_tracker.OnOperatorFailed(now);
     if (error->kind == ErrorKind::PositionGone)
       m_operator_next = 0;
     else
@@ -118,20 +118,20 @@
   // with growing pauses.
   m_operator_due = m_document || read.document ? now : now + m_operator_backoff.Next();
   bool is_new = read.document && OfferDocument(read.document, read.text);
-  is_new = OfferRead(read.weights, now) || is_new;
-  m_naming.OnOperatorAnswered(now);
+  is_new = OfferReadWeights(read.weights, now) || is_new;
+  m_naming_tracker.OnOperatorAnswered(now);
   return is_new;
 }
 
-bool ControlFollower::OfferRead(const std::vector<NamedWeights>& weights, TimePoint now)
+bool ControlFollower::OfferReadWeights(const std::vector<NamedWeights>& weights, TimePoint now)
 {
-  const KnownSince since = m_naming.SinceOfRead(now);
+  const KnownSince since = m_naming_tracker.KnownSinceOfRead(now);
   bool is_new = false;
   for (const NamedWeights& named : weights)
   {
     // A read that may return old namings tells nothing about the age of a version that is already
     // known.
-    if (m_naming.MayHaveMissed() && m_weights[named.model].IsKnown(named.version))
+    if (m_naming_tracker.MayReturnOldNamings() && m_weights[named.model].IsKnown(named.version))
       continue;
     is_new = OfferWeights(named, since) || is_new;
   }
@@ -143,8 +143,8 @@
 {
   if (document->version <= Version())
     return false;
-  m_version_before = Version();
-  m_text_before = std::exchange(m_document_text, text);
+  m_previous_version = Version();
+  m_previous_text = std::exchange(m_document_text, text);
   m_document = document;
   return true;
 }
@@ -159,9 +159,9 @@
   }
   if (!m_behind_since)
     m_behind_since = now;
-  if (now - *m_behind_since < PLATFORM_HEAD_START || now < m_ask_due)
+  if (now - *m_behind_since < PLATFORM_HEAD_START || now < m_peer_request_due)
     return std::nullopt;
-  m_ask_due = now + ASK_PERIOD;
+  m_peer_request_due = now + PEER_REQUEST_PERIOD;
   return Version();
 }
 
@@ -173,7 +173,7 @@
 bool ControlFollower::OnTargetsRead(const Result<TargetsRead>& result, TimePoint now)
 {
   m_is_reading_targets = false;
-  m_naming.OnListAnswered(now);
+  m_naming_tracker.OnListAnswered(now);
   if (const auto* error = std::get_if<Error>(&result))
   {
     if (error->kind == ErrorKind::PositionGone)
@@ -187,24 +187,24 @@
   m_targets_due = now + m_options.list_period;
   m_last_answer = now;
   m_has_read_targets = true;
-  const bool is_news = m_targets.OnRead(std::get<TargetsRead>(result), now);
-  m_targets_next = m_targets.Known();
-  return is_news;
+  const bool is_changed = m_targets.OnRead(std::get<TargetsRead>(result), now);
+  m_targets_next = m_targets.KnownPosition();
+  return is_changed;
 }
 
-bool ControlFollower::OfferTargets(const TargetsNews& news)
+bool ControlFollower::OfferTargets(const TargetsNews& update)
 {
-  if (!m_targets.Offer(news))
+  if (!m_targets.Offer(update))
     return false;
-  m_targets_next = m_targets.Known();
+  m_targets_next = m_targets.KnownPosition();
   return true;
 }
 
 bool ControlFollower::MissesTargets(Position position, Position changed)
 {
-  if (m_targets.Misses(position, changed))
+  if (m_targets.OnPeerPosition(position, changed))
     return true;
-  m_targets_next = m_targets.Known();
+  m_targets_next = m_targets.KnownPosition();
   return false;
 }
 } // namespace Holdpost::Control
--- a/Source/Core/Control/ControlFollower.h
+++ b/Source/Core/Control/ControlFollower.h
@@ -49,11 +49,11 @@
   ControlFollower(FollowerOptions options, std::uint64_t seed);
 
   // Records the start of the process. The platform may not have to be read yet.
-  void Begin(Common::TimePoint now) { m_naming.Begin(now); }
+  void Begin(Common::TimePoint now) { m_naming_tracker.Begin(now); }
   void OnTick(Common::TimePoint now, Actions* actions);
   Common::TimePoint NextWakeup() const;
   // While another process reads for this one, nothing is requested from the platform.
-  void SetReading(bool reads);
+  void SetReading(bool is_reader);
 
   // Each of these functions returns true if the known state changes.
   bool OnOperatorRead(const Common::Result<OperatorRead>& result, Common::TimePoint now);
@@ -68,10 +68,10 @@
                                                          Common::TimePoint now);
   bool OfferWeights(const NamedWeights& named, const KnownSince& since);
   // Records that another process has announced all versions that were named until this time.
-  void OnToldAll(Common::TimePoint until) { m_naming.OnToldAll(until); }
+  void OnToldAll(Common::TimePoint until) { m_naming_tracker.OnToldAll(until); }
   // Applies target list changes that another process read. They are ignored if earlier changes are
   // missing.
-  bool OfferTargets(const TargetsNews& news);
+  bool OfferTargets(const TargetsNews& update);
   // Handles the news that another process has read the target list up to `position` and that its
   // last change is at `changed`. Returns whether that process has to be asked for the list, because
   // this process lacks a change.
@@ -81,8 +81,8 @@
   Settings::DocumentVersion Version() const { return m_document ? m_document->version : 0; }
   const Common::Bytes& DocumentText() const { return m_document_text; }
   // The version and the text of the document that was in force before the current one.
-  Settings::DocumentVersion VersionBefore() const { return m_version_before; }
-  const Common::Bytes& TextBefore() const { return m_text_before; }
+  Settings::DocumentVersion VersionBefore() const { return m_previous_version; }
+  const Common::Bytes& TextBefore() const { return m_previous_text; }
   // The newest named versions of each model.
   const std::map<std::string, NamedVersions>& Weights() const { return m_weights; }
   std::vector<Gateway::ListedTarget> Targets() const { return m_targets.All(); }
@@ -91,12 +91,12 @@
   // processes that follow this one do not have to request them from the platform too.
   bool HasReadAll() const { return m_has_read_operator && m_has_read_targets; }
   // The position up to which the target list is known, and the position of its last change.
-  Position TargetsPosition() const { return m_targets.Known(); }
-  Position TargetsChanged() const { return m_targets.Changed(); }
+  Position TargetsPosition() const { return m_targets.KnownPosition(); }
+  Position TargetsChanged() const { return m_targets.ChangedPosition(); }
   // The changes of the last read, for processes that know the target list up to its base.
-  const TargetsNews& LastTargetsNews() const { return m_targets.LastNews(); }
+  const TargetsNews& LastTargetsNews() const { return m_targets.LastUpdate(); }
   // The full target list, for processes that know none of it.
-  TargetsNews WholeTargets() const { return m_targets.Whole(); }
+  TargetsNews WholeTargets() const { return m_targets.FullList(); }
   // The time of the platform's last answer, or the default time point before the first answer.
   Common::TimePoint LastAnswer() const { return m_last_answer; }
   bool IsReachable() const { return m_is_reachable; }
@@ -104,25 +104,25 @@
 
 private:
   void NoteReachable(bool is_reachable, Common::TimePoint now);
-  bool OfferRead(const std::vector<NamedWeights>& weights, Common::TimePoint now);
+  bool OfferReadWeights(const std::vector<NamedWeights>& weights, Common::TimePoint now);
 
   FollowerOptions m_options;
-  NamingWatch m_naming;
+  NamingTracker m_naming_tracker;
   std::shared_ptr<const Settings::Document> m_document;
   Common::Bytes m_document_text;
-  Settings::DocumentVersion m_version_before = 0;
-  Common::Bytes m_text_before;
+  Settings::DocumentVersion m_previous_version = 0;
+  Common::Bytes m_previous_text;
   std::map<std::string, NamedVersions> m_weights;
   TargetList m_targets;
   bool m_is_reachable = false;
   // The time since which other processes are known to have newer settings.
   std::optional<Common::TimePoint> m_behind_since;
-  Common::TimePoint m_ask_due{};
+  Common::TimePoint m_peer_request_due{};
   Position m_operator_next = 0;
   // The position from which the platform is asked for target list changes; 0 requests the full
   // list.
   Position m_targets_next = 0;
-  bool m_reads = true;
+  bool m_is_reader = true;
   Common::TimePoint m_last_answer{};
   bool m_is_reading_operator = false;
   bool m_is_reading_targets = false;
--- a/Source/Core/Control/NamedVersions.cpp
+++ b/Source/Core/Control/NamedVersions.cpp
@@ -7,10 +7,10 @@
 {
 using Common::Milliseconds;
 
-static constexpr std::size_t VERSIONS_KEPT = 4;
+static constexpr std::size_t MAX_KEPT_VERSIONS = 4;
 // Times received from other processes are off by the network delay of the message, so smaller
 // differences are not treated as changes.
-static constexpr Milliseconds EARLIER_LEAST = Milliseconds(20);
+static constexpr Milliseconds MIN_TIME_DIFFERENCE = Milliseconds(20);
 
 bool KnownSince::Replaces(const KnownSince& known) const
 {
@@ -30,16 +30,16 @@
   if (place != m_known.end() && place->version == offered.version)
   {
     KnownSince least = offered.since;
-    least.time += EARLIER_LEAST;
+    least.time += MIN_TIME_DIFFERENCE;
     if (!least.Replaces(place->since))
       return false;
     place->since = offered.since;
     return true;
   }
-  if (place == m_known.begin() && m_known.size() >= VERSIONS_KEPT)
+  if (place == m_known.begin() && m_known.size() >= MAX_KEPT_VERSIONS)
     return false;
   m_known.insert(place, offered);
-  if (m_known.size() > VERSIONS_KEPT)
+  if (m_known.size() > MAX_KEPT_VERSIONS)
     m_known.erase(m_known.begin());
   return true;
 }
--- a/Source/Core/Control/NamingWatch.cpp
+++ b/Source/Core/Control/NamingWatch.cpp
@@ -10,79 +10,79 @@
 using Common::TimePoint;
 
 // A silent reader is replaced within this time.
-static constexpr Duration TAKE_OVER_MOST = Milliseconds(2000);
+static constexpr Duration MAX_TAKEOVER_TIME = Milliseconds(2000);
 // A read that receives no byte for this time is aborted. A longer delay means that this process was
 // suspended.
-static constexpr Duration ANSWER_DELAY_MOST = Milliseconds(1000);
+static constexpr Duration MAX_ANSWER_DELAY = Milliseconds(1000);
 
 Milliseconds AssumedAge(Milliseconds switch_within, Milliseconds start_grace)
 {
   return std::max(switch_within - start_grace, Milliseconds(0));
 }
 
-void NamingWatch::Begin(TimePoint now)
+void NamingTracker::Begin(TimePoint now)
 {
-  if (!m_began)
-    m_began = now;
+  if (!m_started_at)
+    m_started_at = now;
 }
 
-void NamingWatch::OnListAsked(TimePoint now)
+void NamingTracker::OnListRequested(TimePoint now)
 {
-  m_list_asked = now;
+  m_list_requested_at = now;
 }
 
-void NamingWatch::OnListAnswered(TimePoint now)
+void NamingTracker::OnListAnswered(TimePoint now)
 {
-  m_list_took = now - m_list_asked.value_or(now);
-  m_list_asked.reset();
+  m_list_read_duration = now - m_list_requested_at.value_or(now);
+  m_list_requested_at.reset();
 }
 
-void NamingWatch::OnOperatorAsked(bool is_newest, TimePoint now)
+void NamingTracker::OnOperatorRequested(bool is_newest, TimePoint now)
 {
-  m_operator_asked = now;
-  m_may_have_missed = is_newest || m_has_failed || m_told_until > m_read_until;
+  m_operator_requested_at = now;
+  m_may_return_old_namings = is_newest || m_has_failed || m_announced_until > m_read_until;
 }
 
-void NamingWatch::OnOperatorFailed(TimePoint now)
+void NamingTracker::OnOperatorFailed(TimePoint now)
 {
   m_has_failed = true;
   // A platform that refuses requests immediately is down, and nothing is named meanwhile. A
   // platform that does not respond may be behind a saturated link.
-  if (m_told_until && now - m_operator_asked < ANSWER_DELAY_MOST)
-    OnToldAll(m_operator_asked);
+  if (m_announced_until && now - m_operator_requested_at < MAX_ANSWER_DELAY)
+    OnToldAll(m_operator_requested_at);
 }
 
-void NamingWatch::OnOperatorAnswered(TimePoint now)
+void NamingTracker::OnOperatorAnswered(TimePoint now)
 {
   m_has_failed = false;
   OnToldAll(now - AnswerDelay(now));
-  m_read_until = m_told_until;
+  m_read_until = m_announced_until;
 }
 
-void NamingWatch::OnToldAll(TimePoint until)
+void NamingTracker::OnToldAll(TimePoint until)
 {
   // A process that has received no announcement since this process began has no information about
   // namings that this process may have missed.
-  if (m_began && until < *m_began)
+  if (m_started_at && until < *m_started_at)
     return;
-  m_told_until = std::max(m_told_until.value_or(until), until);
+  m_announced_until = std::max(m_announced_until.value_or(until), until);
 }
 
-Duration NamingWatch::AnswerDelay(TimePoint now) const
+Duration NamingTracker::AnswerDelay(TimePoint now) const
 {
-  const Duration open = now - m_list_asked.value_or(now);
-  return std::min(std::max(m_list_took, open), ANSWER_DELAY_MOST);
+  const Duration open = now - m_list_requested_at.value_or(now);
+  return std::min(std::max(m_list_read_duration, open), MAX_ANSWER_DELAY);
 }
 
-KnownSince NamingWatch::SinceOfRead(TimePoint now) const
+KnownSince NamingTracker::KnownSinceOfRead(TimePoint now) const
 {
   const TimePoint written = now - AnswerDelay(now);
-  if (!m_may_have_missed)
+  if (!m_may_return_old_namings)
     return {written};
-  if (!m_told_until)
-    return {m_began.value_or(now) - m_assumed_age, true};
-  if (now - *m_told_until <= TAKE_OVER_MOST)
-    return {std::min(*m_told_until, written)};
-  return {std::max(*m_told_until, now - m_assumed_age), true};
+  if (!m_announced_until)
+    return {m_started_at.value_or(now) - m_assumed_age, true};
+  if (now - *m_announced_until <= MAX_TAKEOVER_TIME)
+    return {std::min(*m_announced_until, written)};
+  return {std::max(*m_announced_until, now - m_assumed_age), true};
 }
 } // namespace Holdpost::Control
--- a/Source/Core/Control/NamingWatch.h
+++ b/Source/Core/Control/NamingWatch.h
@@ -18,44 +18,44 @@
 Common::Milliseconds AssumedAge(Common::Milliseconds switch_within,
                                 Common::Milliseconds start_grace);
 
-class NamingWatch
+class NamingTracker
 {
 public:
-  explicit NamingWatch(Common::Milliseconds assumed_age) : m_assumed_age(assumed_age) {}
+  explicit NamingTracker(Common::Milliseconds assumed_age) : m_assumed_age(assumed_age) {}
 
   // Records the start of the process; later calls have no effect.
   void Begin(Common::TimePoint now);
   // The platform is asked for its target list, which it answers immediately, or has answered.
-  void OnListAsked(Common::TimePoint now);
+  void OnListRequested(Common::TimePoint now);
   void OnListAnswered(Common::TimePoint now);
   // The platform is asked for the operators' changes: for the newest state, or for changes since a
   // position.
-  void OnOperatorAsked(bool is_newest, Common::TimePoint now);
+  void OnOperatorRequested(bool is_newest, Common::TimePoint now);
   void OnOperatorFailed(Common::TimePoint now);
   void OnOperatorAnswered(Common::TimePoint now);
   // Records that another process has announced all versions that were named until this time.
   void OnToldAll(Common::TimePoint until);
 
   // Whether the current read may return versions that were named before the read was sent.
-  bool MayHaveMissed() const { return m_may_have_missed; }
+  bool MayReturnOldNamings() const { return m_may_return_old_namings; }
   // The time since which versions returned by the current read are known, if they were not known
   // before.
-  KnownSince SinceOfRead(Common::TimePoint now) const;
+  KnownSince KnownSinceOfRead(Common::TimePoint now) const;
 
 private:
   // The current network delay of the platform's answers.
   Common::Duration AnswerDelay(Common::TimePoint now) const;
 
   Common::Milliseconds m_assumed_age;
-  std::optional<Common::TimePoint> m_began;
+  std::optional<Common::TimePoint> m_started_at;
   // The times up to which all named versions are known: from any source, and from this process's
   // own reads.
-  std::optional<Common::TimePoint> m_told_until;
+  std::optional<Common::TimePoint> m_announced_until;
   std::optional<Common::TimePoint> m_read_until;
   bool m_has_failed = false;
-  bool m_may_have_missed = true;
-  Common::TimePoint m_operator_asked{};
-  std::optional<Common::TimePoint> m_list_asked;
-  Common::Duration m_list_took{};
+  bool m_may_return_old_namings = true;
+  Common::TimePoint m_operator_requested_at{};
+  std::optional<Common::TimePoint> m_list_requested_at;
+  Common::Duration m_list_read_duration{};
 };
 } // namespace Holdpost::Control
--- a/Source/Core/Control/PeerQuery.cpp
+++ b/Source/Core/Control/PeerQuery.cpp
@@ -11,8 +11,8 @@
 // At a start, or when it stops answering, the platform gets this much time to answer before peers
 // are asked.
 static constexpr Duration PLATFORM_HEAD_START = Milliseconds(300);
-static constexpr Duration PERIOD_PARTIAL = Milliseconds(400);
-static constexpr Duration PERIOD_WHOLE = Milliseconds(2000);
+static constexpr Duration PARTIAL_KNOWLEDGE_PERIOD = Milliseconds(400);
+static constexpr Duration WHOLE_KNOWLEDGE_PERIOD = Milliseconds(2000);
 
 std::optional<Address> PeerQuery::OnTick(bool is_platform_reachable, Knowledge knowledge,
                                          TimePoint now)
@@ -26,7 +26,8 @@
     m_due = now + PLATFORM_HEAD_START;
   if (now < *m_due)
     return std::nullopt;
-  m_due = now + (knowledge == Knowledge::Partial ? PERIOD_PARTIAL : PERIOD_WHOLE);
+  m_due =
+      now + (knowledge == Knowledge::Partial ? PARTIAL_KNOWLEDGE_PERIOD : WHOLE_KNOWLEDGE_PERIOD);
   const Address peer = m_peers[m_next];
   m_next = (m_next + 1) % m_peers.size();
   return peer;
--- a/Source/Core/Control/ReaderDuty.h
+++ b/Source/Core/Control/ReaderDuty.h
@@ -41,7 +41,7 @@
   void OnAlone(Common::TimePoint now);
 
   // The number of processes of the hall that can read the platform, including this one.
-  void SetMembers(std::size_t members) { m_members = members; }
+  void SetMembers(std::size_t members) { m_process_count = members; }
   // Handles the heartbeat of another process of the hall that reads the platform and received its
   // last answer `answer_age` ago.
   void OnReaderBeat(ReaderRank rank, Common::Duration answer_age, Common::TimePoint now);
@@ -49,9 +49,9 @@
   // readers while the platform answers none of them. `answered` is the time of the platform's last
   // answer to this process.
   DutyChange OnTick(Common::TimePoint answered, Common::TimePoint now);
-  bool Reads() const { return m_reads; }
+  bool Reads() const { return m_is_reader; }
   // Whether this process relies on another reader.
-  bool IsFollowing() const { return !m_reads && m_has_reader; }
+  bool IsFollowing() const { return !m_is_reader && m_has_reader; }
   Common::TimePoint NextWakeup() const;
 
 private:
@@ -63,9 +63,9 @@
 
   ReaderRank m_rank;
   std::mt19937_64 m_random;
-  std::size_t m_members = 1;
-  bool m_reads = true;
-  Common::TimePoint m_began{};
+  std::size_t m_process_count = 1;
+  bool m_is_reader = true;
+  Common::TimePoint m_reading_since{};
   bool m_has_reader = false;
   // The time at which this process starts to read unless it receives a newer heartbeat of a reader.
   Common::TimePoint m_take_over_at{};
--- a/Source/Core/Control/TargetList.cpp
+++ b/Source/Core/Control/TargetList.cpp
@@ -17,13 +17,13 @@
 // After a platform outage of at least this length, records may have lapsed although their targets
 // are alive. Such targets write their records again within about two seconds of the platform's
 // return.
-static constexpr Duration OUTAGE_LEAST = Milliseconds(1000);
-static constexpr Duration BACK_WITHIN = Milliseconds(2200);
+static constexpr Duration MIN_OUTAGE = Milliseconds(1000);
+static constexpr Duration RECOVERY_TIME = Milliseconds(2200);
 
 void TargetList::NoteAnswered(TimePoint now)
 {
-  if (m_failing_since && now - *m_failing_since >= OUTAGE_LEAST)
-    m_lapses_until = now + BACK_WITHIN;
+  if (m_failing_since && now - *m_failing_since >= MIN_OUTAGE)
+    m_lapse_tolerated_until = now + RECOVERY_TIME;
   m_failing_since.reset();
 }
 
@@ -37,7 +37,7 @@
 {
   NoteAnswered(now);
   // A list that another process read further may have been applied in the meantime.
-  if (read.next < m_known)
+  if (read.next < m_known_position)
     return false;
   const bool is_first = !std::exchange(m_is_known, true);
   const TargetsById before = m_targets;
@@ -69,17 +69,17 @@
     m_lapsed.erase(id);
   }
   RemoveLapsed(now);
-  m_known = read.next;
+  m_known_position = read.next;
   if (before == m_targets && !is_first)
     return false;
-  m_news = read.is_whole ? Whole() : ChangesSince(before, read.next);
-  m_changed = read.next;
+  m_last_update = read.is_whole ? FullList() : ChangesSince(before, read.next);
+  m_changed_position = read.next;
   return true;
 }
 
 void TargetList::KeepLapsed(std::set<Gateway::TargetId>* gone, TimePoint now)
 {
-  if (now >= m_lapses_until)
+  if (now >= m_lapse_tolerated_until)
     return;
   struct Count
   {
@@ -108,14 +108,14 @@
                     return false;
                   if (m_lapsed.insert(id).second)
                     LogEvent(Weight::Important, now, "target.lapsed", "target", id, "waits_ms",
-                             m_lapses_until - now);
+                             m_lapse_tolerated_until - now);
                   return true;
                 });
 }
 
 void TargetList::RemoveLapsed(TimePoint now)
 {
-  if (now < m_lapses_until)
+  if (now < m_lapse_tolerated_until)
     return;
   for (const Gateway::TargetId& id : m_lapsed)
     m_targets.erase(id);
@@ -126,57 +126,57 @@
 // contain several records of the same target. Only the resulting differences are forwarded.
 TargetsNews TargetList::ChangesSince(const TargetsById& before, Position next) const
 {
-  TargetsNews news{m_changed, next, {}};
+  TargetsNews update{m_changed_position, next, {}};
   for (const auto& [id, target] : m_targets)
   {
-    const auto was = before.find(id);
-    if (was == before.end() || was->second != target)
-      news.changes.push_back({id, target});
+    const auto previous = before.find(id);
+    if (previous == before.end() || previous->second != target)
+      update.changes.push_back({id, target});
   }
   for (const auto& [id, target] : before)
   {
     if (!m_targets.contains(id))
-      news.changes.push_back({id, std::nullopt});
+      update.changes.push_back({id, std::nullopt});
   }
-  return news;
+  return update;
 }
 
-TargetsNews TargetList::Whole() const
+TargetsNews TargetList::FullList() const
 {
-  TargetsNews news{0, m_known, {}};
-  news.changes.reserve(m_targets.size());
+  TargetsNews update{0, m_known_position, {}};
+  update.changes.reserve(m_targets.size());
   for (const auto& [id, target] : m_targets)
-    news.changes.push_back({id, target});
-  return news;
+    update.changes.push_back({id, target});
+  return update;
 }
 
-bool TargetList::Offer(const TargetsNews& news)
+bool TargetList::Offer(const TargetsNews& update)
 {
-  const bool is_whole = news.base == 0;
-  if (news.position <= m_known || (!is_whole && m_known < news.base))
+  const bool is_whole = update.base == 0;
+  if (update.position <= m_known_position || (!is_whole && m_known_position < update.base))
     return false;
   if (is_whole)
     m_targets.clear();
   // The process that read the list has already waited for the targets whose records lapsed.
   m_lapsed.clear();
-  for (const TargetChange& change : news.changes)
+  for (const TargetChange& change : update.changes)
   {
     if (change.target)
       m_targets[change.id] = *change.target;
     else
       m_targets.erase(change.id);
   }
-  m_known = news.position;
-  m_changed = news.position;
+  m_known_position = update.position;
+  m_changed_position = update.position;
   m_is_known = true;
   return true;
 }
 
-bool TargetList::Misses(Position position, Position changed)
+bool TargetList::OnPeerPosition(Position position, Position changed)
 {
-  if (m_known < changed || !m_is_known)
-    return position > m_known;
-  m_known = std::max(m_known, position);
+  if (m_known_position < changed || !m_is_known)
+    return position > m_known_position;
+  m_known_position = std::max(m_known_position, position);
   return false;
 }
 
--- a/Source/Core/Control/TargetList.h
+++ b/Source/Core/Control/TargetList.h
@@ -19,22 +19,22 @@
   bool OnRead(const TargetsRead& read, Common::TimePoint now);
   void OnReadFailed(Common::TimePoint now);
   // Applies changes that another process read. They are ignored if earlier changes are missing.
-  bool Offer(const TargetsNews& news);
+  bool Offer(const TargetsNews& update);
   // Handles the news that another process has read the list up to `position` and that its last
   // change is at `changed`. Returns whether that process has to be asked for the list, because this
   // process lacks a change.
-  bool Misses(Position position, Position changed);
+  bool OnPeerPosition(Position position, Position changed);
 
   bool IsKnown() const { return m_is_known; }
   std::size_t Size() const { return m_targets.size(); }
   std::vector<Gateway::ListedTarget> All() const;
   // The position up to which the list is known, and the position of its last change.
-  Position Known() const { return m_known; }
-  Position Changed() const { return m_changed; }
+  Position KnownPosition() const { return m_known_position; }
+  Position ChangedPosition() const { return m_changed_position; }
   // The changes of the last read, for processes that knew the list before it.
-  const TargetsNews& LastNews() const { return m_news; }
+  const TargetsNews& LastUpdate() const { return m_last_update; }
   // The full list, for processes that know none of it.
-  TargetsNews Whole() const;
+  TargetsNews FullList() const;
 
 private:
   using TargetsById = std::map<Gateway::TargetId, Gateway::ListedTarget>;
@@ -50,14 +50,14 @@
 
   TargetsById m_targets;
   bool m_is_known = false;
-  Position m_known = 0;
-  Position m_changed = 0;
-  TargetsNews m_news;
+  Position m_known_position = 0;
+  Position m_changed_position = 0;
+  TargetsNews m_last_update;
   // The time since which the platform has not answered; empty while it answers.
   std::optional<Common::TimePoint> m_failing_since;
   // Records may have lapsed during an outage of the platform; until this time their targets may
   // write them again.
-  Common::TimePoint m_lapses_until{};
+  Common::TimePoint m_lapse_tolerated_until{};
   std::set<Gateway::TargetId> m_lapsed;
 };
 } // namespace Holdpost::Control
--- a/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
+++ b/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
@@ -113,12 +113,12 @@
   CHECK(reader.follower.OnTargetsRead(
       TargetsRead{false, {{"a", MakeTarget("a")}, {"b", std::nullopt}, {"c", MakeTarget("c")}}, 12},
       reader.now));
-  const TargetsNews news = reader.follower.LastTargetsNews();
-  CHECK(news.changes.size() == 2);
+  const TargetsNews update = reader.follower.LastTargetsNews();
+  CHECK(update.changes.size() == 2);
 
   SUBCASE("the changes arrive")
   {
-    CHECK(other.follower.OfferTargets(news));
+    CHECK(other.follower.OfferTargets(update));
     CHECK(other.follower.Targets() == reader.follower.Targets());
     CHECK_FALSE(other.follower.MissesTargets(14, reader.follower.TargetsChanged()));
     CHECK(other.follower.TargetsPosition() == 14);
@@ -134,7 +134,7 @@
   }
   SUBCASE("a local read that started earlier returns an older list, which is ignored")
   {
-    CHECK(other.follower.OfferTargets(news));
+    CHECK(other.follower.OfferTargets(update));
     CHECK_FALSE(
         other.follower.OnTargetsRead(TargetsRead{false, {{"b", MakeTarget("b")}}, 8}, other.now));
     CHECK(other.follower.Targets() == reader.follower.Targets());
--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
@@ -14,30 +14,30 @@
 namespace
 {
 const Common::TimePoint START{std::chrono::hours(1)};
-constexpr ReaderRank BETTER = 1;
-constexpr ReaderRank OWN = 5;
-constexpr ReaderRank WORSE = 9;
+constexpr ReaderRank LOWER_RANK = 1;
+constexpr ReaderRank LOCAL_RANK = 5;
+constexpr ReaderRank HIGHER_RANK = 9;
 
 // Whether a process that received its last answer before the test starts to read.
-bool Begins(ReaderDuty& duty, Common::TimePoint now)
+bool StartsReading(ReaderDuty& duty, Common::TimePoint now)
 {
   return duty.OnTick(START - std::chrono::minutes(1), now) == DutyChange::Begins;
 }
 
 // The processes of a hall and a platform that answers all, some or none of them. Each reader sends
-// the age of its last answer to the others every BEAT_PERIOD.
+// the age of its last answer to the others every HEARTBEAT_PERIOD.
 struct Hall
 {
-  static constexpr Milliseconds BEAT_PERIOD = Milliseconds(300);
+  static constexpr Milliseconds HEARTBEAT_PERIOD = Milliseconds(300);
   static constexpr Milliseconds STEP = Milliseconds(10);
 
   struct Process
   {
     ReaderDuty duty;
     Common::TimePoint answered = START;
-    Common::TimePoint beat_due{};
+    Common::TimePoint heartbeat_due{};
     bool may_be_answered = true;
-    std::size_t begun = 0;
+    std::size_t takeovers = 0;
   };
 
   explicit Hall(std::size_t count)
@@ -48,9 +48,9 @@
       processes.back().duty.SetMembers(count);
     }
   }
-  void Beat(std::size_t from)
+  void SendHeartbeat(std::size_t from)
   {
-    processes[from].beat_due = now + BEAT_PERIOD;
+    processes[from].heartbeat_due = now + HEARTBEAT_PERIOD;
     for (std::size_t i = 0; i < processes.size(); ++i)
     {
       if (i != from)
@@ -66,16 +66,16 @@
         Process& process = processes[i];
         if (process.duty.OnTick(process.answered, now) == DutyChange::Begins)
         {
-          ++process.begun;
-          process.beat_due = now;
+          ++process.takeovers;
+          process.heartbeat_due = now;
         }
         if (!process.duty.Reads())
           continue;
         reading_time += STEP;
         if (is_platform_up && process.may_be_answered)
           process.answered = now;
-        if (now >= process.beat_due)
-          Beat(i);
+        if (now >= process.heartbeat_due)
+          SendHeartbeat(i);
       }
     }
   }
@@ -95,54 +95,54 @@
 
 TEST_CASE("A process reads until it receives the heartbeat of a reader with a lower rank")
 {
-  ReaderDuty duty(OWN, 1);
+  ReaderDuty duty(LOCAL_RANK, 1);
   CHECK(duty.Reads());
-  duty.OnReaderBeat(WORSE, Milliseconds(10), START);
+  duty.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START);
   CHECK(duty.Reads());
-  duty.OnReaderBeat(BETTER, Milliseconds(10), START);
+  duty.OnReaderBeat(LOWER_RANK, Milliseconds(10), START);
   CHECK_FALSE(duty.Reads());
 
   SUBCASE("and then follows a reader of any rank, so that the role does not move without need")
   {
-    duty.OnReaderBeat(WORSE, Milliseconds(10), START + Milliseconds(900));
-    CHECK_FALSE(Begins(duty, START + Milliseconds(1500)));
+    duty.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START + Milliseconds(900));
+    CHECK_FALSE(StartsReading(duty, START + Milliseconds(1500)));
     CHECK_FALSE(duty.Reads());
   }
   SUBCASE("and takes over when the reader's heartbeats stop")
   {
-    CHECK_FALSE(Begins(duty, START + Milliseconds(900)));
+    CHECK_FALSE(StartsReading(duty, START + Milliseconds(900)));
     CHECK(duty.NextWakeup() <= START + Milliseconds(1200));
-    CHECK(Begins(duty, START + Milliseconds(1200)));
+    CHECK(StartsReading(duty, START + Milliseconds(1200)));
     CHECK(duty.Reads());
-    CHECK_FALSE(Begins(duty, START + Milliseconds(1300)));
+    CHECK_FALSE(StartsReading(duty, START + Milliseconds(1300)));
   }
   SUBCASE("and takes over when the reader has lost the platform but still sends heartbeats")
   {
-    duty.OnReaderBeat(BETTER, Milliseconds(600), START + Milliseconds(590));
-    duty.OnReaderBeat(BETTER, Milliseconds(1100), START + Milliseconds(1090));
-    CHECK(Begins(duty, START + Milliseconds(1200)));
+    duty.OnReaderBeat(LOWER_RANK, Milliseconds(600), START + Milliseconds(590));
+    duty.OnReaderBeat(LOWER_RANK, Milliseconds(1100), START + Milliseconds(1090));
+    CHECK(StartsReading(duty, START + Milliseconds(1200)));
   }
 }
 
 TEST_CASE("A reader that has lost the platform does not keep other processes from reading")
 {
-  ReaderDuty duty(OWN, 1);
-  duty.OnReaderBeat(BETTER, Milliseconds(3000), START);
+  ReaderDuty duty(LOCAL_RANK, 1);
+  duty.OnReaderBeat(LOWER_RANK, Milliseconds(3000), START);
   CHECK(duty.Reads());
 }
 
 TEST_CASE("Waiting processes do not all start to read at the same moment")
 {
-  ReaderDuty first(OWN, 1);
-  ReaderDuty second(OWN + 1, 2);
-  first.OnReaderBeat(BETTER, Milliseconds(0), START);
-  second.OnReaderBeat(BETTER, Milliseconds(0), START);
+  ReaderDuty first(LOCAL_RANK, 1);
+  ReaderDuty second(LOCAL_RANK + 1, 2);
+  first.OnReaderBeat(LOWER_RANK, Milliseconds(0), START);
+  second.OnReaderBeat(LOWER_RANK, Milliseconds(0), START);
   CHECK(first.NextWakeup() != second.NextWakeup());
 }
 
 TEST_CASE("A reader that polls at the required interval is never taken to be cut off")
 {
-  static constexpr Milliseconds BEAT_PERIOD = Milliseconds(300);
+  static constexpr Milliseconds HEARTBEAT_PERIOD = Milliseconds(300);
   static constexpr Milliseconds CALL_TIME = Milliseconds(20);
   for (const Milliseconds drain_within :
        {Milliseconds(1000), Milliseconds(2000), Milliseconds(4000), Milliseconds(20000)})
@@ -150,16 +150,17 @@
     INFO("drain within " << drain_within.count() << " ms");
     const Milliseconds period = ListPeriod(drain_within);
     CHECK(period <= drain_within * 3 / 10);
-    ReaderDuty duty(OWN, 1);
+    ReaderDuty duty(LOCAL_RANK, 1);
     Common::TimePoint answered = START;
     // The heartbeat after each answer is lost; the next heartbeat reports the age of the answer.
     for (int i = 0; i < 50; ++i)
     {
-      for (Common::TimePoint now = answered + BEAT_PERIOD; now < answered + period + CALL_TIME;
-           now += BEAT_PERIOD)
-        duty.OnReaderBeat(BETTER, std::chrono::duration_cast<Milliseconds>(now - answered), now);
+      for (Common::TimePoint now = answered + HEARTBEAT_PERIOD; now < answered + period + CALL_TIME;
+           now += HEARTBEAT_PERIOD)
+        duty.OnReaderBeat(LOWER_RANK, std::chrono::duration_cast<Milliseconds>(now - answered),
+                          now);
       answered += period + CALL_TIME;
-      CHECK_FALSE(Begins(duty, answered + BEAT_PERIOD - Milliseconds(1)));
+      CHECK_FALSE(StartsReading(duty, answered + HEARTBEAT_PERIOD - Milliseconds(1)));
     }
   }
 }
@@ -178,7 +179,7 @@
     hall.RunFor(std::chrono::minutes(3));
     CHECK(hall.reading_time / std::chrono::minutes(3) < 8);
     for (const Hall::Process& process : hall.processes)
-      CHECK((process.duty.Reads() || process.begun > 0));
+      CHECK((process.duty.Reads() || process.takeovers > 0));
   }
   SUBCASE("and once the platform answers again, one reader remains within 400 ms")
   {
@@ -212,39 +213,39 @@
 
 TEST_CASE("A process that has just started waits briefly for the state of other processes")
 {
-  ReaderDuty duty(OWN, 1);
+  ReaderDuty duty(LOCAL_RANK, 1);
   duty.WaitToBeTold(START);
   CHECK_FALSE(duty.Reads());
   CHECK_FALSE(duty.IsFollowing());
-  CHECK_FALSE(Begins(duty, START + Milliseconds(19)));
+  CHECK_FALSE(StartsReading(duty, START + Milliseconds(19)));
 
   SUBCASE("and reads the platform if no other process does")
   {
     CHECK(duty.NextWakeup() <= START + Milliseconds(250));
-    CHECK(Begins(duty, START + Milliseconds(250)));
+    CHECK(StartsReading(duty, START + Milliseconds(250)));
   }
   SUBCASE("with jitter, so that many processes that start together read at different times")
   {
-    std::set<Common::TimePoint> begun;
+    std::set<Common::TimePoint> start_times;
     for (std::uint64_t seed = 0; seed < 100; ++seed)
     {
       ReaderDuty other(seed, seed);
       other.WaitToBeTold(START);
-      begun.insert(other.NextWakeup());
+      start_times.insert(other.NextWakeup());
     }
-    CHECK(begun.size() > 60);
+    CHECK(start_times.size() > 60);
   }
   SUBCASE("or reads immediately if no other process of its hall is known")
   {
     duty.OnAlone(START + Milliseconds(5));
-    CHECK(Begins(duty, START + Milliseconds(5)));
+    CHECK(StartsReading(duty, START + Milliseconds(5)));
   }
   SUBCASE("and follows a reader whose heartbeat arrives")
   {
-    duty.OnReaderBeat(WORSE, Milliseconds(50), START + Milliseconds(30));
+    duty.OnReaderBeat(HIGHER_RANK, Milliseconds(50), START + Milliseconds(30));
     CHECK(duty.IsFollowing());
     duty.OnAlone(START + Milliseconds(40));
-    CHECK_FALSE(Begins(duty, START + Milliseconds(900)));
-    CHECK(Begins(duty, START + Milliseconds(1200)));
+    CHECK_FALSE(StartsReading(duty, START + Milliseconds(900)));
+    CHECK(StartsReading(duty, START + Milliseconds(1200)));
   }
 }
--- a/Source/UnitTests/Core/Control/TargetListTest.cpp
+++ b/Source/UnitTests/Core/Control/TargetListTest.cpp
@@ -41,7 +41,7 @@
   }
   bool Read(std::vector<TargetChange> changes, bool is_whole = false)
   {
-    const Position next = list.Known() + changes.size();
+    const Position next = list.KnownPosition() + changes.size();
     return list.OnRead({is_whole, std::move(changes), next}, now);
   }
   bool Has(const std::string& id) const
@@ -80,8 +80,8 @@
     CHECK(f.Read({Listed("a")}));
     CHECK(f.Has("a"));
     CHECK_FALSE(f.Has("b"));
-    REQUIRE(f.list.LastNews().changes.size() == 1);
-    CHECK(f.list.LastNews().changes[0].id == "b");
+    REQUIRE(f.list.LastUpdate().changes.size() == 1);
+    CHECK(f.list.LastUpdate().changes[0].id == "b");
   }
   SUBCASE("a target that comes back as leaving is removed when its record goes")
   {
--- a/Source/UnitTests/Core/Control/VersionAgesTest.cpp
+++ b/Source/UnitTests/Core/Control/VersionAgesTest.cpp
@@ -98,8 +98,8 @@
   SUBCASE(
       "unless another process has recently announced all versions, and this one was not among them")
   {
-    const Common::TimePoint told = f.now - Milliseconds(300);
-    f.follower.OnToldAll(told);
+    const Common::TimePoint announced_at = f.now - Milliseconds(300);
+    f.follower.OnToldAll(announced_at);
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     // The list was requested at the start, and its answer has not arrived yet.
     CHECK(SinceOf(f, 2) == KnownSince{START});
@@ -113,8 +113,8 @@
   f.follower = ControlFollower({.assumed_age = ASSUMED_AGE}, 1);
   f.follower.SetReading(false);
   f.Tick();
-  const Common::TimePoint told = f.now;
-  f.follower.OnToldAll(told);
+  const Common::TimePoint announced_at = f.now;
+  f.follower.OnToldAll(announced_at);
   f.now += Milliseconds(1200);
   f.follower.SetReading(true);
   f.Tick();
@@ -122,7 +122,7 @@
   SUBCASE("if the last announcement is recent")
   {
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
-    CHECK(SinceOf(f, 2) == KnownSince{told});
+    CHECK(SinceOf(f, 2) == KnownSince{announced_at});
   }
   SUBCASE("after a long silence the version may have been named at any time since")
   {
@@ -228,10 +228,10 @@
   // This is the case of SidecarNode: gateways of the hall announce versions, and the follower is
   // not ticked until they have been silent for 1.5 s.
   f.now += Milliseconds(30000);
-  const Common::TimePoint told = f.now;
-  f.follower.OnToldAll(told);
+  const Common::TimePoint announced_at = f.now;
+  f.follower.OnToldAll(announced_at);
   f.Tick(Milliseconds(1500));
   f.follower.OnTargetsRead(TargetsRead{false, {}, 1}, f.now);
   f.follower.OnOperatorRead(NameVersion(2, 2, 10), f.now);
-  CHECK(SinceOf(f, 2).time <= told);
+  CHECK(SinceOf(f, 2).time <= announced_at);
 }
