--- a/Source/Core/Mesh/Briefing.h
+++ b/Source/Core/Mesh/Briefing.h
@@ -62,7 +62,7 @@
   // The hellos to other halls are sent immediately when targets there become needed.
   void SetUse(TargetUse use);
   // Whether this gateway reads the platform for its hall.
-  void SetReads(bool reads) { m_reads = reads; }
+  void SetReads(bool reads) { m_is_reader = reads; }
   // Records the stamp of the last briefing that a sidecar received, as the sidecar reports it.
   void OnReported(const Common::Address& sidecar, const BriefingStamp& stamp,
                   Common::TimePoint now);
@@ -76,43 +76,44 @@
 
 private:
   // The briefing state of a sidecar.
-  struct Briefed
+  struct SidecarState
   {
     BriefingStamp stamp;
     Common::TimePoint reported_at{};
     // The stamp of the last briefing that was sent to the sidecar, and the time of sending.
-    BriefingStamp told;
-    Common::TimePoint told_at{};
+    BriefingStamp sent_stamp;
+    Common::TimePoint sent_at{};
   };
 
-  void OnNews(Common::TimePoint now);
+  void OnBriefingChanged(Common::TimePoint now);
   Hello MakeHello(Common::TimePoint now) const;
-  void AddWhole(Hello* hello) const;
-  void Tell(const Peer& sidecar, const Hello& hello, Common::TimePoint now,
-            std::vector<Outgoing>* outgoing);
-  void TellNew(Common::TimePoint now, std::vector<Outgoing>* outgoing);
-  void TellUsed(bool is_near, Common::TimePoint now, std::vector<Outgoing>* outgoing);
+  void AddBriefing(Hello* hello) const;
+  void SendHello(const Peer& sidecar, const Hello& hello, Common::TimePoint now,
+                 std::vector<Outgoing>* outgoing);
+  void SendToNewSidecars(Common::TimePoint now, std::vector<Outgoing>* outgoing);
+  void SendToUsedSidecars(bool is_local_hall, Common::TimePoint now,
+                          std::vector<Outgoing>* outgoing);
   // Whether the next hello to the sidecar has to contain the briefing.
-  bool NeedsWhole(const Peer& sidecar, Common::TimePoint now) const;
+  bool NeedsBriefing(const Peer& sidecar, Common::TimePoint now) const;
   bool IsUsed(const Peer& sidecar) const;
   bool WantsLoad(const Peer& sidecar) const;
-  void TellSoon() { m_near_due = {}; }
+  void SendSoon() { m_local_hall_due = {}; }
 
   std::string m_hall;
   std::mt19937_64 m_random;
-  bool m_reads = true;
+  bool m_is_reader = true;
   Settings::DocumentVersion m_settings = 0;
   WeightsPlan m_plan;
   std::vector<Peer> m_sidecars;
   // The stamp of the plan and the sidecars, and the time from which a gateway that does not read
   // the platform may send them to sidecars that lack them.
   BriefingStamp m_stamp;
-  Common::TimePoint m_others_due{};
-  std::map<std::string, Control::NamedVersions> m_weights; // by model
-  std::map<Common::Address, Briefed> m_briefed;            // sidecars of the local hall
+  Common::TimePoint m_non_reader_due{};
+  std::map<std::string, Control::NamedVersions> m_weights;  // by model
+  std::map<Common::Address, SidecarState> m_sidecar_states; // sidecars of the local hall
   bool m_has_new_sidecars = false;
-  Common::TimePoint m_near_due{};
-  Common::TimePoint m_far_due{};
+  Common::TimePoint m_local_hall_due{};
+  Common::TimePoint m_other_halls_due{};
   TargetUse m_use;
 };
 } // namespace Holdpost::Mesh
--- a/Source/Core/Mesh/GatewayCount.h
+++ b/Source/Core/Mesh/GatewayCount.h
@@ -19,19 +19,19 @@
   {
     if (now - m_window_began > WINDOW)
     {
-      m_before = m_largest;
+      m_previous_largest = m_largest;
       m_largest = 0;
       m_window_began = now;
     }
     m_largest = std::max(m_largest, count);
-    return std::max({m_largest, m_before, std::size_t(1)});
+    return std::max({m_largest, m_previous_largest, std::size_t(1)});
   }
 
 private:
   static constexpr Common::Milliseconds WINDOW = Common::Milliseconds(2000);
 
   std::size_t m_largest = 0;
-  std::size_t m_before = 0;
+  std::size_t m_previous_largest = 0;
   Common::TimePoint m_window_began{};
 };
 } // namespace Holdpost::Mesh
--- a/Source/Core/Mesh/GatewayDirectory.h
+++ b/Source/Core/Mesh/GatewayDirectory.h
@@ -17,12 +17,12 @@
 {
 public:
   // Records a gateway that sent a request.
-  void OnGatewayAsked(const Sender& gateway, Common::TimePoint now);
+  void OnGatewayRequest(const Sender& gateway, Common::TimePoint now);
   // Returns gateways of the hall that have sent a request recently, without the one at `except`.
-  std::vector<Common::Address> Of(const std::string& hall, const Common::Address& except,
-                                  Common::TimePoint now);
+  std::vector<Common::Address> GatewaysOf(const std::string& hall, const Common::Address& except,
+                                          Common::TimePoint now);
 
 private:
-  std::map<std::string, std::map<Common::Address, Common::TimePoint>> m_asked_at;
+  std::map<std::string, std::map<Common::Address, Common::TimePoint>> m_requested_at;
 };
 } // namespace Holdpost::Mesh
--- a/Source/Core/Mesh/GatewayMembership.cpp
+++ b/Source/Core/Mesh/GatewayMembership.cpp
@@ -13,19 +13,19 @@
 
 Gateway::GatewayCounts GatewayMembership::OnCounted(std::size_t all, TimePoint now)
 {
-  m_near = m_others.Others(now).size() + 1;
-  return {m_count.OnReported(all, now), m_near};
+  m_hall_gateway_count = m_others.Others(now).size() + 1;
+  return {m_count.OnReported(all, now), m_hall_gateway_count};
 }
 
 TellGateways GatewayMembership::OnAsked(const Sender& from, const AskGateways& ask, TimePoint now)
 {
-  const bool is_near = from.hall == m_hall;
-  TellGateways answer{m_directory.Of(from.hall, from.address, now)};
-  if (is_near)
+  const bool is_same_hall = from.hall == m_hall;
+  TellGateways answer{m_directory.GatewaysOf(from.hall, from.address, now)};
+  if (is_same_hall)
     answer.gateways.push_back(m_self);
   if (ask.is_gateway)
-    m_directory.OnGatewayAsked(from, now);
-  if (ask.is_gateway && is_near)
+    m_directory.OnGatewayRequest(from, now);
+  if (ask.is_gateway && is_same_hall)
     m_others.OnListed({from.address}, now);
   return answer;
 }
--- a/Source/Core/Mesh/GatewayMembership.h
+++ b/Source/Core/Mesh/GatewayMembership.h
@@ -37,7 +37,7 @@
   // The other gateways of the local hall.
   std::vector<Common::Address> Others(Common::TimePoint now) { return m_others.Others(now); }
   // The number of gateways of the local hall, including this one, at the time of the last count.
-  std::size_t Near() const { return m_near; }
+  std::size_t Near() const { return m_hall_gateway_count; }
   // The seeds to ask for other gateways now, as long as no reader's heartbeat is received.
   std::vector<Common::Address> SeedsToAsk(bool knows_reader, Common::TimePoint now)
   {
@@ -50,7 +50,7 @@
   std::string m_hall;
   HallGateways m_others;
   GatewayCount m_count;
-  std::size_t m_near = 1;
+  std::size_t m_hall_gateway_count = 1;
   GatewayDirectory m_directory;
   SeedSearch m_search;
 };
--- a/Source/Core/Mesh/SeedSearch.h
+++ b/Source/Core/Mesh/SeedSearch.h
@@ -16,15 +16,15 @@
   explicit SeedSearch(std::vector<Common::Address> seeds) : m_seeds(std::move(seeds)) {}
 
   void SetSeeds(std::vector<Common::Address> seeds) { m_seeds = std::move(seeds); }
-  // Returns the seeds to ask now. `is_found` means that a gateway that can help has sent a message
-  // recently.
-  std::vector<Common::Address> OnTick(bool is_found, Common::TimePoint now);
+  // Returns the seeds to ask now. `is_gateway_known` means that a gateway that can help has sent a
+  // message recently.
+  std::vector<Common::Address> OnTick(bool is_gateway_known, Common::TimePoint now);
   Common::TimePoint NextWakeup() const;
 
 private:
   std::vector<Common::Address> m_seeds;
   // The time since which no such gateway is known; empty while one is.
-  std::optional<Common::TimePoint> m_since;
+  std::optional<Common::TimePoint> m_searching_since;
   Common::TimePoint m_due{};
 };
 } // namespace Holdpost::Mesh
--- a/Source/UnitTests/Core/Mesh/BriefingTest.cpp
+++ b/Source/UnitTests/Core/Mesh/BriefingTest.cpp
@@ -46,9 +46,9 @@
   briefing.SetWeights({"m", 2}, {START + Milliseconds(50)});
   briefing.OnTick(START + Milliseconds(100), &out);
   REQUIRE(out.size() == 1);
-  const auto& told = HelloTo(out, NEAR).weights.at(0);
-  CHECK(told.named.version == 2);
-  CHECK(told.known == Milliseconds(50));
+  const auto& advertised = HelloTo(out, NEAR).weights.at(0);
+  CHECK(advertised.named.version == 2);
+  CHECK(advertised.known == Milliseconds(50));
   CHECK(HelloTo(out, NEAR).plan.model.empty());
   out.clear();
   briefing.OnTick(START + Milliseconds(500), &out);
@@ -69,24 +69,24 @@
     now += time;
     briefing.OnTick(now, &out);
   };
-  const auto is_told_all = [&] { return !out.empty() && !HelloTo(out, NEAR).plan.model.empty(); };
+  const auto has_briefing = [&] { return !out.empty() && !HelloTo(out, NEAR).plan.model.empty(); };
   tick(Milliseconds(0));
-  CHECK(is_told_all());
+  CHECK(has_briefing());
 
   SUBCASE("because the message was lost or the sidecar has restarted")
   {
     briefing.OnReported(NEAR.address, {}, now);
     tick(Milliseconds(400));
-    CHECK(is_told_all());
+    CHECK(has_briefing());
     briefing.OnReported(NEAR.address, {7, 40}, now);
     tick(Milliseconds(400));
-    CHECK(!is_told_all());
+    CHECK(!has_briefing());
   }
   SUBCASE("but not if the sidecar knows a newer state")
   {
     briefing.OnReported(NEAR.address, {9, 41}, now);
     tick(Milliseconds(400));
-    CHECK(!is_told_all());
+    CHECK(!has_briefing());
   }
   SUBCASE("the gateway that reads the platform sends a change first")
   {
@@ -95,21 +95,21 @@
     {
       briefing.SetSidecars({NEAR, FAR}, 50, now);
       tick(Milliseconds(10));
-      CHECK(is_told_all());
+      CHECK(has_briefing());
     }
     SUBCASE("after a delay, if another gateway is the reader")
     {
       briefing.SetReads(false);
       briefing.SetSidecars({NEAR, FAR}, 50, now);
       tick(Milliseconds(10));
-      CHECK(!is_told_all());
+      CHECK(!has_briefing());
       briefing.OnReported(NEAR.address, {7, 40}, now + Milliseconds(100));
       tick(Milliseconds(400));
-      CHECK(!is_told_all());
+      CHECK(!has_briefing());
       // The sidecar still reports that it lacks the changes.
       briefing.OnReported(NEAR.address, {7, 40}, now + Milliseconds(300));
       tick(Milliseconds(400));
-      CHECK(is_told_all());
+      CHECK(has_briefing());
     }
   }
   SUBCASE("a new sidecar in the list receives both immediately from every gateway")
--- a/Source/UnitTests/Core/Mesh/GatewayMembershipTest.cpp
+++ b/Source/UnitTests/Core/Mesh/GatewayMembershipTest.cpp
@@ -71,8 +71,8 @@
   {
     CHECK(ask(SenderAt("here", 3), true, START) == std::vector{SELF});
     CHECK(seed.Others(START) == std::vector{AddressOf(3)});
-    const auto named = ask(SenderAt("here", 4), true, START);
-    CHECK(named == std::vector{AddressOf(3), SELF});
+    const auto listed = ask(SenderAt("here", 4), true, START);
+    CHECK(listed == std::vector{AddressOf(3), SELF});
   }
   SUBCASE("for a process of another hall, the gateways of that hall that asked before")
   {
@@ -129,8 +129,8 @@
       const bool has_started = ms >= i * 7 % 300;
       if (!has_started || gateways[static_cast<std::size_t>(i)].SeedsToAsk(false, now).empty())
         continue;
-      const TellGateways told = gateways[0].OnAsked(SenderAt("here", i + 1), {true}, now);
-      gateways[static_cast<std::size_t>(i)].OnNamed(told.gateways, now);
+      const TellGateways answer = gateways[0].OnAsked(SenderAt("here", i + 1), {true}, now);
+      gateways[static_cast<std::size_t>(i)].OnNamed(answer.gateways, now);
     }
   }
   for (GatewayMembership& gateway : gateways)
