--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
@@ -19,9 +19,9 @@
 constexpr ReaderRank HIGHER_RANK = 9;
 
 // Whether a process that received its last answer before the test starts to read.
-bool StartsReading(ReaderDuty& duty, Common::TimePoint now)
+bool StartsReading(ReaderDuty& election, Common::TimePoint now)
 {
-  return duty.OnTick(START - std::chrono::minutes(1), now) == DutyChange::Begins;
+  return election.OnTick(START - std::chrono::minutes(1), now) == DutyChange::Begins;
 }
 
 // The processes of a hall and a platform that answers all, some or none of them. Each reader sends
@@ -33,7 +33,7 @@
 
   struct Process
   {
-    ReaderDuty duty;
+    ReaderDuty election;
     Common::TimePoint answered = START;
     Common::TimePoint heartbeat_due{};
     bool may_be_answered = true;
@@ -45,7 +45,7 @@
     for (std::size_t i = 0; i < count; ++i)
     {
       processes.push_back({ReaderDuty(i + 1, i + 1)});
-      processes.back().duty.SetMembers(count);
+      processes.back().election.SetMembers(count);
     }
   }
   void SendHeartbeat(std::size_t from)
@@ -54,7 +54,7 @@
     for (std::size_t i = 0; i < processes.size(); ++i)
     {
       if (i != from)
-        processes[i].duty.OnReaderBeat(from + 1, now - processes[from].answered, now);
+        processes[i].election.OnReaderBeat(from + 1, now - processes[from].answered, now);
     }
   }
   void RunFor(Milliseconds time)
@@ -64,12 +64,12 @@
       for (std::size_t i = 0; i < processes.size(); ++i)
       {
         Process& process = processes[i];
-        if (process.duty.OnTick(process.answered, now) == DutyChange::Begins)
+        if (process.election.OnTick(process.answered, now) == DutyChange::Begins)
         {
           ++process.takeovers;
           process.heartbeat_due = now;
         }
-        if (!process.duty.Reads())
+        if (!process.election.Reads())
           continue;
         reading_time += STEP;
         if (is_platform_up && process.may_be_answered)
@@ -82,7 +82,7 @@
   std::size_t Readers() const
   {
     return static_cast<std::size_t>(std::ranges::count_if(processes, [](const Process& process)
-                                                          { return process.duty.Reads(); }));
+                                                          { return process.election.Reads(); }));
   }
 
   std::vector<Process> processes;
@@ -95,40 +95,40 @@
 
 TEST_CASE("A process reads until it receives the heartbeat of a reader with a lower rank")
 {
-  ReaderDuty duty(LOCAL_RANK, 1);
-  CHECK(duty.Reads());
-  duty.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START);
-  CHECK(duty.Reads());
-  duty.OnReaderBeat(LOWER_RANK, Milliseconds(10), START);
-  CHECK_FALSE(duty.Reads());
+  ReaderDuty election(LOCAL_RANK, 1);
+  CHECK(election.Reads());
+  election.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START);
+  CHECK(election.Reads());
+  election.OnReaderBeat(LOWER_RANK, Milliseconds(10), START);
+  CHECK_FALSE(election.Reads());
 
   SUBCASE("and then follows a reader of any rank, so that the role does not move without need")
   {
-    duty.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START + Milliseconds(900));
-    CHECK_FALSE(StartsReading(duty, START + Milliseconds(1500)));
-    CHECK_FALSE(duty.Reads());
+    election.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START + Milliseconds(900));
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(1500)));
+    CHECK_FALSE(election.Reads());
   }
   SUBCASE("and takes over when the reader's heartbeats stop")
   {
-    CHECK_FALSE(StartsReading(duty, START + Milliseconds(900)));
-    CHECK(duty.NextWakeup() <= START + Milliseconds(1200));
-    CHECK(StartsReading(duty, START + Milliseconds(1200)));
-    CHECK(duty.Reads());
-    CHECK_FALSE(StartsReading(duty, START + Milliseconds(1300)));
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(900)));
+    CHECK(election.NextWakeup() <= START + Milliseconds(1200));
+    CHECK(StartsReading(election, START + Milliseconds(1200)));
+    CHECK(election.Reads());
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(1300)));
   }
   SUBCASE("and takes over when the reader has lost the platform but still sends heartbeats")
   {
-    duty.OnReaderBeat(LOWER_RANK, Milliseconds(600), START + Milliseconds(590));
-    duty.OnReaderBeat(LOWER_RANK, Milliseconds(1100), START + Milliseconds(1090));
-    CHECK(StartsReading(duty, START + Milliseconds(1200)));
+    election.OnReaderBeat(LOWER_RANK, Milliseconds(600), START + Milliseconds(590));
+    election.OnReaderBeat(LOWER_RANK, Milliseconds(1100), START + Milliseconds(1090));
+    CHECK(StartsReading(election, START + Milliseconds(1200)));
   }
 }
 
 TEST_CASE("A reader that has lost the platform does not keep other processes from reading")
 {
-  ReaderDuty duty(LOCAL_RANK, 1);
-  duty.OnReaderBeat(LOWER_RANK, Milliseconds(3000), START);
-  CHECK(duty.Reads());
+  ReaderDuty election(LOCAL_RANK, 1);
+  election.OnReaderBeat(LOWER_RANK, Milliseconds(3000), START);
+  CHECK(election.Reads());
 }
 
 TEST_CASE("Waiting processes do not all start to read at the same moment")
@@ -150,17 +150,17 @@
     INFO("drain within " << drain_within.count() << " ms");
     const Milliseconds period = ListPeriod(drain_within);
     CHECK(period <= drain_within * 3 / 10);
-    ReaderDuty duty(LOCAL_RANK, 1);
+    ReaderDuty election(LOCAL_RANK, 1);
     Common::TimePoint answered = START;
     // The heartbeat after each answer is lost; the next heartbeat reports the age of the answer.
     for (int i = 0; i < 50; ++i)
     {
       for (Common::TimePoint now = answered + HEARTBEAT_PERIOD; now < answered + period + CALL_TIME;
            now += HEARTBEAT_PERIOD)
-        duty.OnReaderBeat(LOWER_RANK, std::chrono::duration_cast<Milliseconds>(now - answered),
-                          now);
+        election.OnReaderBeat(LOWER_RANK, std::chrono::duration_cast<Milliseconds>(now - answered),
+                              now);
       answered += period + CALL_TIME;
-      CHECK_FALSE(StartsReading(duty, answered + HEARTBEAT_PERIOD - Milliseconds(1)));
+      CHECK_FALSE(StartsReading(election, answered + HEARTBEAT_PERIOD - Milliseconds(1)));
     }
   }
 }
@@ -179,7 +179,7 @@
     hall.RunFor(std::chrono::minutes(3));
     CHECK(hall.reading_time / std::chrono::minutes(3) < 8);
     for (const Hall::Process& process : hall.processes)
-      CHECK((process.duty.Reads() || process.takeovers > 0));
+      CHECK((process.election.Reads() || process.takeovers > 0));
   }
   SUBCASE("and once the platform answers again, one reader remains within 400 ms")
   {
@@ -206,23 +206,23 @@
     hall.RunFor(Milliseconds(1300));
     const bool is_read = std::ranges::any_of(
         hall.processes, [&](const Hall::Process& process)
-        { return process.duty.Reads() && hall.now - process.answered < Milliseconds(50); });
+        { return process.election.Reads() && hall.now - process.answered < Milliseconds(50); });
     CHECK(is_read);
   }
 }
 
 TEST_CASE("A process that has just started waits briefly for the state of other processes")
 {
-  ReaderDuty duty(LOCAL_RANK, 1);
-  duty.WaitToBeTold(START);
-  CHECK_FALSE(duty.Reads());
-  CHECK_FALSE(duty.IsFollowing());
-  CHECK_FALSE(StartsReading(duty, START + Milliseconds(19)));
+  ReaderDuty election(LOCAL_RANK, 1);
+  election.WaitToBeTold(START);
+  CHECK_FALSE(election.Reads());
+  CHECK_FALSE(election.IsFollowing());
+  CHECK_FALSE(StartsReading(election, START + Milliseconds(19)));
 
   SUBCASE("and reads the platform if no other process does")
   {
-    CHECK(duty.NextWakeup() <= START + Milliseconds(250));
-    CHECK(StartsReading(duty, START + Milliseconds(250)));
+    CHECK(election.NextWakeup() <= START + Milliseconds(250));
+    CHECK(StartsReading(election, START + Milliseconds(250)));
   }
   SUBCASE("with jitter, so that many processes that start together read at different times")
   {
@@ -237,15 +237,15 @@
   }
   SUBCASE("or reads immediately if no other process of its hall is known")
   {
-    duty.OnAlone(START + Milliseconds(5));
-    CHECK(StartsReading(duty, START + Milliseconds(5)));
+    election.OnAlone(START + Milliseconds(5));
+    CHECK(StartsReading(election, START + Milliseconds(5)));
   }
   SUBCASE("and follows a reader whose heartbeat arrives")
   {
-    duty.OnReaderBeat(HIGHER_RANK, Milliseconds(50), START + Milliseconds(30));
-    CHECK(duty.IsFollowing());
-    duty.OnAlone(START + Milliseconds(40));
-    CHECK_FALSE(StartsReading(duty, START + Milliseconds(900)));
-    CHECK(StartsReading(duty, START + Milliseconds(1200)));
+    election.OnReaderBeat(HIGHER_RANK, Milliseconds(50), START + Milliseconds(30));
+    CHECK(election.IsFollowing());
+    election.OnAlone(START + Milliseconds(40));
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(900)));
+    CHECK(StartsReading(election, START + Milliseconds(1200)));
   }
 }
