--- a/Source/Core/Control/ControlFollower.cpp
+++ b/Source/Core/Control/ControlFollower.cpp
@@ -129,8 +129,8 @@
   bool is_new = false;
   for (const NamedWeights& named : weights)
   {
-    // A read that may return old namings tells nothing about the age of a version that is already
-    // known.
+    // A read that may return old namings gives no information about the age of a version that is
+    // already known.
     if (m_naming_tracker.MayReturnOldNamings() && m_weights[named.model].IsKnown(named.version))
       continue;
     is_new = OfferWeights(named, since) || is_new;
--- a/Source/Core/Control/ControlFollower.h
+++ b/Source/Core/Control/ControlFollower.h
@@ -48,7 +48,7 @@
 public:
   ControlFollower(FollowerOptions options, std::uint64_t seed);
 
-  // Records the start of the process. The platform may not have to be read yet.
+  // Records the start of the process, which may be earlier than its first read of the platform.
   void Begin(Common::TimePoint now) { m_naming_tracker.Begin(now); }
   void OnTick(Common::TimePoint now, Actions* actions);
   Common::TimePoint NextWakeup() const;
--- a/Source/Core/Control/NamingWatch.cpp
+++ b/Source/Core/Control/NamingWatch.cpp
@@ -46,7 +46,7 @@
 void NamingTracker::OnOperatorFailed(TimePoint now)
 {
   m_has_failed = true;
-  // A platform that refuses requests immediately is down, and nothing is named meanwhile. A
+  // A platform that refuses requests immediately is down, and no version is named meanwhile. A
   // platform that does not respond may be behind a saturated link.
   if (m_announced_until && now - m_operator_requested_at < MAX_ANSWER_DELAY)
     OnToldAll(m_operator_requested_at);
--- a/Source/Core/Control/NamingWatch.h
+++ b/Source/Core/Control/NamingWatch.h
@@ -6,10 +6,10 @@
 #include "Common/Types.h"
 #include "Core/Control/NamedVersions.h"
 
-// Determines since when the versions that a read of the platform returns are known, because the
-// platform's records carry no write time. A version whose naming was not observed is taken to be
-// older rather than younger, as its switch deadline, which counts from the naming, could otherwise
-// be too late.
+// Determines the time since which a version that a read of the platform returns is known, because
+// the platform's records carry no write time. A version whose naming was not observed is taken to
+// be older rather than younger, as its switch deadline, which counts from the naming, could
+// otherwise be too late.
 namespace Holdpost::Control
 {
 // The maximum age that a version is assumed to have when a process starts, chosen so that its
--- a/Source/Core/Control/ReaderDuty.h
+++ b/Source/Core/Control/ReaderDuty.h
@@ -37,7 +37,8 @@
   // Waits a short time for the state of other processes before anything is requested from the
   // platform.
   void WaitToBeTold(Common::TimePoint now);
-  // Ends that wait: no other process of the hall is known, so none can send its state.
+  // Ends the wait for peer state: no other process of the hall is known, so none can send its
+  // state.
   void OnAlone(Common::TimePoint now);
 
   // The number of processes of the hall that can read the platform, including this one.
--- a/Source/Core/Control/TargetList.cpp
+++ b/Source/Core/Control/TargetList.cpp
@@ -36,7 +36,7 @@
 bool TargetList::OnRead(const TargetsRead& read, TimePoint now)
 {
   NoteAnswered(now);
-  // A list that another process read further may have been applied in the meantime.
+  // A newer list that another process read may have been applied in the meantime.
   if (read.next < m_known_position)
     return false;
   const bool is_first = !std::exchange(m_is_known, true);
--- a/Source/Core/Mesh/MeshMessages.h
+++ b/Source/Core/Mesh/MeshMessages.h
@@ -109,7 +109,7 @@
   // Whether the sender sends requests to the receiver's target and therefore needs every load
   // report.
   bool wants_load = false;
-  // The arrivals at the sender for engines.
+  // The demand for engines at the sender: the rate of arrivals and the refused share.
   Gateway::OwnDemand demand;
   // The number of gateways of the sender's hall, including the sender.
   std::uint32_t near_gateways = 0;
--- a/Source/UnitTests/Core/Control/VersionAgesTest.cpp
+++ b/Source/UnitTests/Core/Control/VersionAgesTest.cpp
@@ -3,7 +3,7 @@
 
 #include "FollowerFixture.h"
 
-// Tests since when the versions that a follower reads are known.
+// Tests the naming times that a follower assigns to the versions that it reads.
 using namespace Holdpost;
 using namespace Holdpost::Control;
 using Common::Error;
@@ -150,7 +150,7 @@
   Fixture f;
   f.follower = ControlFollower(options, 1);
   const KnownSince assumed{START - Milliseconds(6000), true};
-  SUBCASE("by a read that was open when another process told of it")
+  SUBCASE("by a read that was open when another process announced the version")
   {
     f.Tick();
     f.now += Milliseconds(40);
