--- a/Source/Core/Control/NamingWatch.cpp
+++ b/Source/Core/Control/NamingWatch.cpp
@@ -70,8 +70,8 @@
 
 Duration NamingTracker::AnswerDelay(TimePoint now) const
 {
-  const Duration open = now - m_list_requested_at.value_or(now);
-  return std::min(std::max(m_list_read_duration, open), MAX_ANSWER_DELAY);
+  const Duration open_duration = now - m_list_requested_at.value_or(now);
+  return std::min(std::max(m_list_read_duration, open_duration), MAX_ANSWER_DELAY);
 }
 
 KnownSince NamingTracker::KnownSinceOfRead(TimePoint now) const
--- a/Source/Core/Mesh/SeedSearch.cpp
+++ b/Source/Core/Mesh/SeedSearch.cpp
@@ -32,10 +32,10 @@
   }
   if (now < m_due)
     return {};
-  const Common::Duration searching = now - *m_searching_since;
-  m_due = now + (searching < START_PHASE   ? START_PERIOD
-                 : searching < EARLY_PHASE ? EARLY_PERIOD
-                                           : LATER_PERIOD);
+  const Common::Duration search_duration = now - *m_searching_since;
+  m_due = now + (search_duration < START_PHASE   ? START_PERIOD
+                 : search_duration < EARLY_PHASE ? EARLY_PERIOD
+                                                 : LATER_PERIOD);
   return m_seeds;
 }
 
--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
@@ -79,7 +79,7 @@
       }
     }
   }
-  std::size_t Readers() const
+  std::size_t ReaderCount() const
   {
     return static_cast<std::size_t>(std::ranges::count_if(processes, [](const Process& process)
                                                           { return process.election.Reads(); }));
@@ -169,7 +169,7 @@
 {
   Hall hall(30);
   hall.RunFor(Milliseconds(1000));
-  REQUIRE(hall.Readers() == 1);
+  REQUIRE(hall.ReaderCount() == 1);
   hall.is_platform_up = false;
   hall.RunFor(Milliseconds(2500));
   hall.reading_time = {};
@@ -186,9 +186,9 @@
     hall.RunFor(Milliseconds(4000));
     hall.is_platform_up = true;
     hall.RunFor(Milliseconds(400));
-    CHECK(hall.Readers() == 1);
+    CHECK(hall.ReaderCount() == 1);
     hall.RunFor(Milliseconds(10000));
-    CHECK(hall.Readers() == 1);
+    CHECK(hall.ReaderCount() == 1);
   }
 }
 
