--- a/Source/Core/Control/AnswerPacing.h
+++ b/Source/Core/Control/AnswerPacing.h
@@ -6,17 +6,20 @@
 
 #include "Common/Types.h"
 
-// Keeps a process from sending a peer the same large answer again while the first may still be on
-// its way: peers ask anew when an answer takes long.
+// Limits how often a process sends the same large answer to a peer. A peer that waits long for an
+// answer repeats its request; without the limit, the answer would be sent again while the first
+// copy may still be in transit.
 namespace Holdpost::Control
 {
 class AnswerPacing
 {
 public:
-  // Whether the peer may be sent this version now; if so, it counts as sent.
+  // Returns whether this version may be sent to the peer now. If so, the version is recorded as
+  // sent.
   bool Take(const Common::Address& peer, std::uint64_t version, Common::TimePoint now)
   {
-    std::erase_if(m_sent, [now](const auto& entry) { return now - entry.second.at >= PAUSE; });
+    std::erase_if(m_sent,
+                  [now](const auto& entry) { return now - entry.second.at >= RESEND_PAUSE; });
     const auto found = m_sent.find(peer);
     if (found != m_sent.end() && found->second.version >= version)
       return false;
@@ -25,7 +28,7 @@
   }
 
 private:
-  static constexpr Common::Milliseconds PAUSE = Common::Milliseconds(1500);
+  static constexpr Common::Milliseconds RESEND_PAUSE = Common::Milliseconds(1500);
 
   struct Sent
   {
--- a/Source/Core/Control/NamingWatch.h
+++ b/Source/Core/Control/NamingWatch.h
@@ -6,51 +6,56 @@
 #include "Common/Types.h"
 #include "Core/Control/NamedVersions.h"
 
-// Since when versions are known that a read of the platform finds: no record tells when it was
-// written. What is not seen being named is taken to be older rather than younger, as a bound that
-// counts from the naming may otherwise come too late.
+// Determines the time since which a version that a read of the platform returns is known, because
+// the platform's records carry no write time. A version whose naming was not observed is taken to
+// be older rather than younger, as its switch deadline, which counts from the naming, could
+// otherwise be too late.
 namespace Holdpost::Control
 {
-// How old a version may be at most when a process starts, so that its bound lies `start_grace`
-// after the start: from then on the process is held to bounds.
+// The maximum age that a version is assumed to have when a process starts, chosen so that its
+// switch deadline lies `start_grace` after the start. From then on the process has to meet switch
+// deadlines.
 Common::Milliseconds AssumedAge(Common::Milliseconds switch_within,
                                 Common::Milliseconds start_grace);
 
-class NamingWatch
+class NamingTracker
 {
 public:
-  explicit NamingWatch(Common::Milliseconds assumed_age) : m_assumed_age(assumed_age) {}
+  explicit NamingTracker(Common::Milliseconds assumed_age) : m_assumed_age(assumed_age) {}
 
-  // The process has started; later calls do nothing.
+  // Records the start of the process; later calls have no effect.
   void Begin(Common::TimePoint now);
-  // The platform is asked for its list of targets, which it answers at once, and has answered.
-  void OnListAsked(Common::TimePoint now);
+  // The platform is asked for its target list, which it answers immediately, or has answered.
+  void OnListRequested(Common::TimePoint now);
   void OnListAnswered(Common::TimePoint now);
-  // The platform is asked for what operators wrote: for the newest state, or for what changes.
-  void OnOperatorAsked(bool is_newest, Common::TimePoint now);
+  // The platform is asked for the operators' changes: for the newest state, or for changes since a
+  // position.
+  void OnOperatorRequested(bool is_newest, Common::TimePoint now);
   void OnOperatorFailed(Common::TimePoint now);
   void OnOperatorAnswered(Common::TimePoint now);
-  // Another process has told of all versions that were named until then.
+  // Records that another process has announced all versions that were named until this time.
   void OnToldAll(Common::TimePoint until);
 
-  // Whether the present read may find what was named before it was asked for.
-  bool MayHaveMissed() const { return m_may_have_missed; }
-  // Since when versions are known that the present read finds, if they were not known before.
-  KnownSince SinceOfRead(Common::TimePoint now) const;
+  // Whether the current read may return versions that were named before the read was sent.
+  bool MayReturnOldNamings() const { return m_may_return_old_namings; }
+  // The time since which versions returned by the current read are known, if they were not known
+  // before.
+  KnownSince KnownSinceOfRead(Common::TimePoint now) const;
 
 private:
-  // How long answers of the platform are on their way at the moment.
+  // The current network delay of the platform's answers.
   Common::Duration AnswerDelay(Common::TimePoint now) const;
 
   Common::Milliseconds m_assumed_age;
-  std::optional<Common::TimePoint> m_began;
-  // Until when all versions that were named are known, and by the own reads.
-  std::optional<Common::TimePoint> m_told_until;
+  std::optional<Common::TimePoint> m_started_at;
+  // The times up to which all named versions are known: from any source, and from this process's
+  // own reads.
+  std::optional<Common::TimePoint> m_announced_until;
   std::optional<Common::TimePoint> m_read_until;
   bool m_has_failed = false;
-  bool m_may_have_missed = true;
-  Common::TimePoint m_operator_asked{};
-  std::optional<Common::TimePoint> m_list_asked;
-  Common::Duration m_list_took{};
+  bool m_may_return_old_namings = true;
+  Common::TimePoint m_operator_requested_at{};
+  std::optional<Common::TimePoint> m_list_requested_at;
+  Common::Duration m_list_read_duration{};
 };
 } // namespace Holdpost::Control
--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
@@ -14,30 +14,30 @@
 namespace
 {
 const Common::TimePoint START{std::chrono::hours(1)};
-constexpr ReaderRank BETTER = 1;
-constexpr ReaderRank OWN = 5;
-constexpr ReaderRank WORSE = 9;
+constexpr ReaderRank LOWER_RANK = 1;
+constexpr ReaderRank LOCAL_RANK = 5;
+constexpr ReaderRank HIGHER_RANK = 9;
 
-// Whether a process that was last answered before all of this begins to read.
-bool Begins(ReaderDuty& duty, Common::TimePoint now)
+// Whether a process that received its last answer before the test starts to read.
+bool StartsReading(ReaderDuty& election, Common::TimePoint now)
 {
-  return duty.OnTick(START - std::chrono::minutes(1), now) == DutyChange::Begins;
+  return election.OnTick(START - std::chrono::minutes(1), now) == DutyChange::Begins;
 }
 
-// The processes of a hall, and a platform that answers some of them, or none. Each tells the others
-// so often how old its last answer is.
+// The processes of a hall and a platform that answers all, some or none of them. Each reader sends
+// the age of its last answer to the others every HEARTBEAT_PERIOD.
 struct Hall
 {
-  static constexpr Milliseconds BEAT_PERIOD = Milliseconds(300);
+  static constexpr Milliseconds HEARTBEAT_PERIOD = Milliseconds(300);
   static constexpr Milliseconds STEP = Milliseconds(10);
 
   struct Process
   {
-    ReaderDuty duty;
+    ReaderDuty election;
     Common::TimePoint answered = START;
-    Common::TimePoint beat_due{};
+    Common::TimePoint heartbeat_due{};
     bool may_be_answered = true;
-    std::size_t begun = 0;
+    std::size_t takeovers = 0;
   };
 
   explicit Hall(std::size_t count)
@@ -45,16 +45,16 @@
     for (std::size_t i = 0; i < count; ++i)
     {
       processes.push_back({ReaderDuty(i + 1, i + 1)});
-      processes.back().duty.SetMembers(count);
+      processes.back().election.SetMembers(count);
     }
   }
-  void Beat(std::size_t from)
+  void SendHeartbeat(std::size_t from)
   {
-    processes[from].beat_due = now + BEAT_PERIOD;
+    processes[from].heartbeat_due = now + HEARTBEAT_PERIOD;
     for (std::size_t i = 0; i < processes.size(); ++i)
     {
       if (i != from)
-        processes[i].duty.OnReaderBeat(from + 1, now - processes[from].answered, now);
+        processes[i].election.OnReaderBeat(from + 1, now - processes[from].answered, now);
     }
   }
   void RunFor(Milliseconds time)
@@ -64,85 +64,85 @@
       for (std::size_t i = 0; i < processes.size(); ++i)
       {
         Process& process = processes[i];
-        if (process.duty.OnTick(process.answered, now) == DutyChange::Begins)
+        if (process.election.OnTick(process.answered, now) == DutyChange::Begins)
         {
-          ++process.begun;
-          process.beat_due = now;
+          ++process.takeovers;
+          process.heartbeat_due = now;
         }
-        if (!process.duty.Reads())
+        if (!process.election.Reads())
           continue;
         reading_time += STEP;
         if (is_platform_up && process.may_be_answered)
           process.answered = now;
-        if (now >= process.beat_due)
-          Beat(i);
+        if (now >= process.heartbeat_due)
+          SendHeartbeat(i);
       }
     }
   }
-  std::size_t Readers() const
+  std::size_t ReaderCount() const
   {
     return static_cast<std::size_t>(std::ranges::count_if(processes, [](const Process& process)
-                                                          { return process.duty.Reads(); }));
+                                                          { return process.election.Reads(); }));
   }
 
   std::vector<Process> processes;
   Common::TimePoint now = START;
   bool is_platform_up = true;
-  // Summed over all processes.
+  // The reading time summed over all processes.
   Common::Duration reading_time{};
 };
 } // namespace
 
-TEST_CASE("A process reads until the beat of a better reader comes")
+TEST_CASE("A process reads until it receives the heartbeat of a reader with a lower rank")
 {
-  ReaderDuty duty(OWN, 1);
-  CHECK(duty.Reads());
-  duty.OnReaderBeat(WORSE, Milliseconds(10), START);
-  CHECK(duty.Reads());
-  duty.OnReaderBeat(BETTER, Milliseconds(10), START);
-  CHECK_FALSE(duty.Reads());
-
-  SUBCASE("and leaves it to any reader then, so that the duty does not move without need")
-  {
-    duty.OnReaderBeat(WORSE, Milliseconds(10), START + Milliseconds(900));
-    CHECK_FALSE(Begins(duty, START + Milliseconds(1500)));
-    CHECK_FALSE(duty.Reads());
+  ReaderDuty election(LOCAL_RANK, 1);
+  CHECK(election.Reads());
+  election.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START);
+  CHECK(election.Reads());
+  election.OnReaderBeat(LOWER_RANK, Milliseconds(10), START);
+  CHECK_FALSE(election.Reads());
+
+  SUBCASE("and then follows a reader of any rank, so that the role does not move without need")
+  {
+    election.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START + Milliseconds(900));
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(1500)));
+    CHECK_FALSE(election.Reads());
   }
-  SUBCASE("and takes over when the reader falls silent")
+  SUBCASE("and takes over when the reader's heartbeats stop")
   {
-    CHECK_FALSE(Begins(duty, START + Milliseconds(900)));
-    CHECK(duty.NextWakeup() <= START + Milliseconds(1200));
-    CHECK(Begins(duty, START + Milliseconds(1200)));
-    CHECK(duty.Reads());
-    CHECK_FALSE(Begins(duty, START + Milliseconds(1300)));
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(900)));
+    CHECK(election.NextWakeup() <= START + Milliseconds(1200));
+    CHECK(StartsReading(election, START + Milliseconds(1200)));
+    CHECK(election.Reads());
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(1300)));
   }
-  SUBCASE("and takes over when the reader has lost the platform, though it still speaks")
+  SUBCASE("and takes over when the reader has lost the platform but still sends heartbeats")
   {
-    duty.OnReaderBeat(BETTER, Milliseconds(600), START + Milliseconds(590));
-    duty.OnReaderBeat(BETTER, Milliseconds(1100), START + Milliseconds(1090));
-    CHECK(Begins(duty, START + Milliseconds(1200)));
+    election.OnReaderBeat(LOWER_RANK, Milliseconds(600), START + Milliseconds(590));
+    election.OnReaderBeat(LOWER_RANK, Milliseconds(1100), START + Milliseconds(1090));
+    CHECK(StartsReading(election, START + Milliseconds(1200)));
   }
 }
 
-TEST_CASE("One that has lost the platform does not keep others from reading")
+TEST_CASE("A reader that has lost the platform does not keep other processes from reading")
 {
-  ReaderDuty duty(OWN, 1);
-  duty.OnReaderBeat(BETTER, Milliseconds(3000), START);
-  CHECK(duty.Reads());
+  ReaderDuty election(LOCAL_RANK, 1);
+  election.OnReaderBeat(LOWER_RANK, Milliseconds(3000), START);
+  CHECK(election.Reads());
 }
 
-TEST_CASE("Processes that wait do not all begin at the same moment")
+TEST_CASE("Waiting processes do not all start to read at the same moment")
 {
-  ReaderDuty first(OWN, 1);
-  ReaderDuty second(OWN + 1, 2);
-  first.OnReaderBeat(BETTER, Milliseconds(0), START);
-  second.OnReaderBeat(BETTER, Milliseconds(0), START);
+  ReaderDuty first(LOCAL_RANK, 1);
+  ReaderDuty second(LOCAL_RANK + 1, 2);
+  first.OnReaderBeat(LOWER_RANK, Milliseconds(0), START);
+  second.OnReaderBeat(LOWER_RANK, Milliseconds(0), START);
   CHECK(first.NextWakeup() != second.NextWakeup());
 }
 
-TEST_CASE("A reader that asks as often as it should is never taken for one that is cut off")
+TEST_CASE("A reader that polls at the required interval is never taken to be cut off")
 {
-  static constexpr Milliseconds BEAT_PERIOD = Milliseconds(300);
+  static constexpr Milliseconds HEARTBEAT_PERIOD = Milliseconds(300);
   static constexpr Milliseconds CALL_TIME = Milliseconds(20);
   for (const Milliseconds drain_within :
        {Milliseconds(1000), Milliseconds(2000), Milliseconds(4000), Milliseconds(20000)})
@@ -150,48 +150,49 @@
     INFO("drain within " << drain_within.count() << " ms");
     const Milliseconds period = ListPeriod(drain_within);
     CHECK(period <= drain_within * 3 / 10);
-    ReaderDuty duty(OWN, 1);
+    ReaderDuty election(LOCAL_RANK, 1);
     Common::TimePoint answered = START;
-    // The beat behind each answer is lost; the next one tells its age.
+    // The heartbeat after each answer is lost; the next heartbeat reports the age of the answer.
     for (int i = 0; i < 50; ++i)
     {
-      for (Common::TimePoint now = answered + BEAT_PERIOD; now < answered + period + CALL_TIME;
-           now += BEAT_PERIOD)
-        duty.OnReaderBeat(BETTER, std::chrono::duration_cast<Milliseconds>(now - answered), now);
+      for (Common::TimePoint now = answered + HEARTBEAT_PERIOD; now < answered + period + CALL_TIME;
+           now += HEARTBEAT_PERIOD)
+        election.OnReaderBeat(LOWER_RANK, std::chrono::duration_cast<Milliseconds>(now - answered),
+                              now);
       answered += period + CALL_TIME;
-      CHECK_FALSE(Begins(duty, answered + BEAT_PERIOD - Milliseconds(1)));
+      CHECK_FALSE(StartsReading(election, answered + HEARTBEAT_PERIOD - Milliseconds(1)));
     }
   }
 }
 
-TEST_CASE("A platform that answers nobody is asked by few of a hall")
+TEST_CASE("A platform that answers no process is queried by only a few processes of a hall")
 {
   Hall hall(30);
   hall.RunFor(Milliseconds(1000));
-  REQUIRE(hall.Readers() == 1);
+  REQUIRE(hall.ReaderCount() == 1);
   hall.is_platform_up = false;
   hall.RunFor(Milliseconds(2500));
   hall.reading_time = {};
 
-  SUBCASE("though each of the others has a turn, as it may refuse some machines only")
+  SUBCASE("and every other process takes a turn, as the platform may refuse only some of them")
   {
     hall.RunFor(std::chrono::minutes(3));
     CHECK(hall.reading_time / std::chrono::minutes(3) < 8);
     for (const Hall::Process& process : hall.processes)
-      CHECK((process.duty.Reads() || process.begun > 0));
+      CHECK((process.election.Reads() || process.takeovers > 0));
   }
-  SUBCASE("and once it answers again, one reader is left at once")
+  SUBCASE("and once the platform answers again, one reader remains within 400 ms")
   {
     hall.RunFor(Milliseconds(4000));
     hall.is_platform_up = true;
     hall.RunFor(Milliseconds(400));
-    CHECK(hall.Readers() == 1);
+    CHECK(hall.ReaderCount() == 1);
     hall.RunFor(Milliseconds(10000));
-    CHECK(hall.Readers() == 1);
+    CHECK(hall.ReaderCount() == 1);
   }
 }
 
-TEST_CASE("A platform that refuses a third of the machines is read by another one soon")
+TEST_CASE("A platform that refuses a third of the processes is soon read by another process")
 {
   for (std::uint64_t seed = 0; seed < 20; ++seed)
   {
@@ -205,46 +206,46 @@
     hall.RunFor(Milliseconds(1300));
     const bool is_read = std::ranges::any_of(
         hall.processes, [&](const Hall::Process& process)
-        { return process.duty.Reads() && hall.now - process.answered < Milliseconds(50); });
+        { return process.election.Reads() && hall.now - process.answered < Milliseconds(50); });
     CHECK(is_read);
   }
 }
 
-TEST_CASE("A process that has just started gives others a moment to tell what they know")
+TEST_CASE("A process that has just started waits briefly for the state of other processes")
 {
-  ReaderDuty duty(OWN, 1);
-  duty.WaitToBeTold(START);
-  CHECK_FALSE(duty.Reads());
-  CHECK_FALSE(duty.IsFollowing());
-  CHECK_FALSE(Begins(duty, START + Milliseconds(19)));
+  ReaderDuty election(LOCAL_RANK, 1);
+  election.WaitToBeTold(START);
+  CHECK_FALSE(election.Reads());
+  CHECK_FALSE(election.IsFollowing());
+  CHECK_FALSE(StartsReading(election, START + Milliseconds(19)));
 
-  SUBCASE("and reads the platform when nobody does")
+  SUBCASE("and reads the platform if no other process does")
   {
-    CHECK(duty.NextWakeup() <= START + Milliseconds(250));
-    CHECK(Begins(duty, START + Milliseconds(250)));
+    CHECK(election.NextWakeup() <= START + Milliseconds(250));
+    CHECK(StartsReading(election, START + Milliseconds(250)));
   }
-  SUBCASE("one after the other when many start together")
+  SUBCASE("with jitter, so that many processes that start together read at different times")
   {
-    std::set<Common::TimePoint> begun;
+    std::set<Common::TimePoint> start_times;
     for (std::uint64_t seed = 0; seed < 100; ++seed)
     {
       ReaderDuty other(seed, seed);
       other.WaitToBeTold(START);
-      begun.insert(other.NextWakeup());
+      start_times.insert(other.NextWakeup());
     }
-    CHECK(begun.size() > 60);
+    CHECK(start_times.size() > 60);
   }
-  SUBCASE("at once if no other process of its hall is known")
+  SUBCASE("or reads immediately if no other process of its hall is known")
   {
-    duty.OnAlone(START + Milliseconds(5));
-    CHECK(Begins(duty, START + Milliseconds(5)));
+    election.OnAlone(START + Milliseconds(5));
+    CHECK(StartsReading(election, START + Milliseconds(5)));
   }
-  SUBCASE("and leaves it to a reader whose beat comes")
+  SUBCASE("and follows a reader whose heartbeat arrives")
   {
-    duty.OnReaderBeat(WORSE, Milliseconds(50), START + Milliseconds(30));
-    CHECK(duty.IsFollowing());
-    duty.OnAlone(START + Milliseconds(40));
-    CHECK_FALSE(Begins(duty, START + Milliseconds(900)));
-    CHECK(Begins(duty, START + Milliseconds(1200)));
+    election.OnReaderBeat(HIGHER_RANK, Milliseconds(50), START + Milliseconds(30));
+    CHECK(election.IsFollowing());
+    election.OnAlone(START + Milliseconds(40));
+    CHECK_FALSE(StartsReading(election, START + Milliseconds(900)));
+    CHECK(StartsReading(election, START + Milliseconds(1200)));
   }
 }
