--- a/Source/Core/Sidecar/EngineMessages.h
+++ b/Source/Core/Sidecar/EngineMessages.h
@@ -11,42 +11,41 @@
 #include "Common/Types.h"
 #include "Core/Distribution/Actions.h"
 
-// What a sidecar asks of the model engine on its machine and of the origin of weights, and the
-// answers. The engine keeps pieces of weights that are staged with it, and loads what is staged
-// when it is told to start.
+// Requests of a sidecar to the model engine on its machine, and the engine's answers. The engine
+// keeps staged pieces of weights and loads the staged weights when it receives a start order.
 namespace Holdpost::Sidecar
 {
-// What the engine says of itself.
+// The state that the engine reports.
 struct EngineReport
 {
-  // Grows with each start of the engine; 0 if that is not told.
+  // Increases with each start of the engine; 0 if the engine does not report it.
   std::uint64_t incarnation = 0;
-  // The weights that answer requests; 0 for none.
+  // The version of the weights that serve requests; 0 if none is loaded.
   std::uint64_t weights_version = 0;
   std::string model;
-  // An order is under way.
+  // The engine is carrying out a load order.
   bool is_busy = false;
-  // Orders taken since the engine started.
+  // Number of load orders that the engine has accepted since it started.
   std::uint64_t orders = 0;
   std::uint32_t queued = 0;
   std::uint32_t running = 0;
-  // How much slower than its profile it is.
+  // The factor by which the engine is slower than its profile.
   double pace = 1;
 };
 
-// --- asked of the engine ---
+// --- requests to the engine ---
 
 struct ReadReport
 {
 };
 
-// Under which id the engine stands in the list of targets, as a page of it says.
+// Reads the id under which the engine appears in the target list from the given page of the engine.
 struct ReadIdentity
 {
   std::string page;
 };
 
-// Which pieces of the model are staged.
+// Lists the staged pieces of the model.
 struct ListStaged
 {
   std::string model;
@@ -65,14 +64,16 @@
   Common::Bytes data;
 };
 
-// Load what is staged, once what runs has ended.
+// Orders the engine to load the staged weights once its running requests have ended.
 struct StartWeights
 {
   std::string model;
   std::uint64_t version = 0;
-  // The orders that the engine has taken so far: it refuses if it has taken another meanwhile.
+  // Number of orders that the engine has accepted so far: it refuses this one if it has accepted
+  // another order in the meantime.
   std::uint64_t expected_orders = 0;
-  // The fencing token: an engine that checks it refuses one that is lower than a token it has seen.
+  // The fencing token: an engine that checks fences refuses a token that is lower than one it has
+  // seen.
   std::uint64_t fence = 0;
 };
 
@@ -105,7 +106,7 @@
   Common::Result<std::monostate> result;
 };
 
-// An order without an answer may have been taken.
+// The engine may have accepted an order even if no answer to it arrived.
 struct StartAnswered
 {
   std::uint64_t version = 0;
--- a/Source/Core/Sidecar/Sidecar.cpp
+++ b/Source/Core/Sidecar/Sidecar.cpp
@@ -23,33 +23,38 @@
 using Common::Weight;
 
 static constexpr Milliseconds REPORT_PERIOD = Milliseconds(100);
-// While weights are being loaded the end is not to be missed.
+// A shorter period while weights are being loaded, so that the end of the load is noticed soon.
 static constexpr Milliseconds REPORT_PERIOD_LOADING = Milliseconds(25);
 static constexpr Milliseconds PEERS_PERIOD = Milliseconds(1000);
 static constexpr Milliseconds PATIENCE = Milliseconds(500);
 static constexpr Milliseconds STALL = Milliseconds(900);
-// The origin is shared by few, and all wait for it when it has failed.
+// The maximum backoff after a failed fetch from the origin. It is short because only a few sidecars
+// fetch from the origin, and all of them wait for it after a failure.
 static constexpr Milliseconds ORIGIN_PAUSE_MOST = Milliseconds(100);
-// Members of the hall with which a sidecar exchanges pieces. A piece enters a hall at one member;
-// if more ask that one for it at once, most are refused and their links idle.
+// The number of members of the hall with which a sidecar exchanges pieces. A piece enters a hall at
+// one member; if more neighbours request the piece from that member at once, most requests are
+// refused and the links of these neighbours are idle.
 static constexpr std::size_t NEIGHBOURS = 8;
-// Pieces that share the link at once, each way. Requests and answers of the target wait behind all
-// of them.
+// The number of pieces that are transferred over the link at once in each direction. Requests to
+// the target and its answers queue behind all of them.
 static constexpr std::uint32_t PIECES_AT_ONCE = 3;
-// The same while a copy is needed soon.
+// The same limit while a copy is needed soon.
 static constexpr std::uint32_t PIECES_AT_ONCE_IN_HASTE = 6;
-// The same for a copy that this sidecar only keeps for others.
+// The same limit for a copy that this sidecar only keeps for its peers.
 static constexpr std::uint32_t PIECES_AT_ONCE_FOR_OTHERS = 1;
-// A peer that would wait behind more than so many asks another one.
+// The maximum number of uploads that wait for the link. A peer whose request would exceed it is
+// refused and asks another peer.
 static constexpr std::size_t UPLOADS_WAITING = 1;
 static constexpr std::size_t UPLOADS_WAITING_IN_HASTE = 3;
-// Requests for pieces that are remembered until the peer says that it has the piece.
+// The maximum number of piece requests of peers that the sidecar remembers. A request is remembered
+// until the peer confirms that it has the piece.
 static constexpr std::size_t ASKED_MOST = 256;
 static constexpr Milliseconds PIECE_TIME_LEAST = Milliseconds(5);
 static constexpr Milliseconds ORIGIN_PIECE_TIME_LEAST = Milliseconds(2);
-// While the hall lacks pieces, a member takes so many from the others at once, at least: with more
-// of them on its link, the piece that it fetches takes as long as all of these, and the origin's
-// link idles. The larger the hall, the seldomer a member fetches.
+// The minimum number of pieces that a member downloads from other members at once while the hall
+// lacks pieces. With more downloads on its link, the piece that the member fetches from the origin
+// takes as long as all of these, and the origin's link is idle. The larger the hall, the less often
+// a member fetches from the origin.
 static constexpr std::uint32_t DOWNLOADS_WHILE_LACKING_LEAST = 3;
 static constexpr std::uint32_t MEMBERS_FOR_EACH_DOWNLOAD = 3;
 static constexpr Milliseconds CLAIM_LEAST = Milliseconds(300);
@@ -135,8 +140,9 @@
                   static_cast<std::uint32_t>(members) / MEMBERS_FOR_EACH_DOWNLOAD);
 }
 
-// All of the hall may bring in a piece at once over the origin's one link, so a piece takes as many
-// times of what the link needs for one, and some may have to come twice.
+// All members of the hall may fetch a piece over the origin's one link at the same time, so a piece
+// takes the transfer time of one piece once for each member, and some pieces may have to be fetched
+// twice.
 Duration Sidecar::ClaimLifetime() const
 {
   static constexpr int MORE_TIMES = 8;
@@ -155,7 +161,7 @@
   return swarm ? swarm->PiecesHeld() : 0;
 }
 
-// --- what is received ---
+// --- received messages ---
 
 void Sidecar::OnMessage(const Mesh::Sender& from, const Mesh::Message& message, TimePoint now,
                         Actions* actions)
@@ -191,7 +197,7 @@
           },
           [&](const Mesh::TellPiece& tell)
           {
-            // Says that the piece is here, too.
+            // The cancellation also confirms that this sidecar has received the piece.
             if (const auto peer = m_at_peers.extract(tell.id))
               actions->push_back(Tell{peer.mapped(), Mesh::CancelPiece{tell.id}, false});
             m_exchange.OnFetched(tell.id, tell.result, now, &made);
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -18,25 +18,27 @@
 #include "Core/Sidecar/SwitchSchedule.h"
 #include "Core/Sidecar/WeightsLoader.h"
 
-// The decisions of the process beside a model engine that keeps its own stage: it tells gateways
-// how full the engine is, fetches named weights from its peers and the origin, stages them and has
-// them loaded. Takes events with the present time and returns actions.
+// The state machine of the process beside a model engine that keeps its own stage: it reports the
+// load of the engine to gateways, fetches named weights from its peers and the origin, stages them
+// and orders the engine to load them. It takes events with the current time and returns actions.
 namespace Holdpost::Sidecar
 {
 struct SidecarOptions
 {
-  // Where other instances reach this one; also its name among its peers.
+  // The address under which other instances reach this sidecar; it is also the name of the sidecar
+  // among its peers.
   Common::Address address;
   std::string hall;
   Common::Address target;
   std::string service;
   std::uint64_t link_bytes_per_second = 0;
   Common::Milliseconds switch_within{8000};
-  // Gateways of any hall, from the settings; they may be stale.
+  // Gateways of any hall, from the settings; these addresses may be stale.
   std::vector<Common::Address> seeds = {};
 };
 
-// A piece from the origin, or the manifest for MANIFEST_PIECE; the answer is an OriginFetched.
+// Fetches a piece from the origin, or the manifest for MANIFEST_PIECE; the answer is an
+// OriginFetched.
 struct FetchFromOrigin
 {
   Distribution::FetchId id = 0;
@@ -57,7 +59,7 @@
   Common::Result<Common::Bytes> result;
 };
 
-// Tell a peer or gateway; `is_small` messages may be lost.
+// Sends a message to a peer or gateway; messages with `is_small` may be lost.
 struct Tell
 {
   Common::Address to;
@@ -84,7 +86,7 @@
   void OnMessage(const Mesh::Sender& from, const Mesh::Message& message, Common::TimePoint now,
                  Actions* actions);
   void OnPeerBroken(const Common::Address& peer, Common::TimePoint now, Actions* actions);
-  // What the platform says, when it is asked directly.
+  // Plan, weights and peers that the platform sends when the sidecar asks it directly.
   void OnPlan(const Mesh::WeightsPlan& plan, Common::TimePoint now);
   void OnWeights(const Control::NamedWeights& named, const Control::KnownSince& since);
   void OnPeers(const std::vector<Mesh::Peer>& peers, Common::TimePoint now, Actions* actions);
@@ -95,13 +97,15 @@
 
   void OnTick(Common::TimePoint now, Actions* actions);
   Common::TimePoint NextWakeup(Common::TimePoint now) const;
-  // Whether no gateway of the hall has sent anything for a while, so that the platform has to be
-  // asked.
+  // Whether no gateway of the hall has sent a message for a while, so that the sidecar has to ask
+  // the platform.
   bool IsAlone(Common::TimePoint now) const;
-  // Of which versions are named, and since when; the model is empty until a plan is known.
+  // The model that the plan names, and its named versions with the time since which each is known;
+  // the model is empty until a plan is known.
   const std::string& Model() const { return m_plan.model; }
   const std::map<std::uint64_t, Control::KnownSince>& NamedVersions() const { return m_named; }
-  // Until when gateways of the hall have told of all versions that were named; empty if never.
+  // The time up to which gateways of the hall have reported all named versions; empty if they have
+  // never done so.
   const std::optional<Common::TimePoint>& ToldVersionsUntil() const
   {
     return m_told_versions_until;
@@ -111,7 +115,7 @@
   std::uint64_t WantedVersion() const { return m_wanted; }
   std::uint64_t LoadedVersion() const { return m_report ? m_report->weights_version : 0; }
   const Distribution::Exchange& Weights() const { return m_exchange; }
-  // Pieces of the version that are here.
+  // Number of pieces of the version that this sidecar holds.
   std::uint32_t PiecesHeld(std::uint64_t version) const;
 
 private:
@@ -120,18 +124,19 @@
     std::string hall;
     Settings::DocumentVersion settings = 0;
     Common::Milliseconds clock{0};
-    // Any message of it, and the hello with the clock.
+    // The time of the last message of any kind from the gateway, and of the last hello, which
+    // carried the clock.
     Common::TimePoint last_seen{};
     Common::TimePoint greeted{};
     Common::TimePoint told{};
-    // It needs each report.
+    // The gateway needs every load report.
     bool wants_load = false;
     Gateway::OwnDemand demand;
-    // Gateways of its hall, as it says.
+    // Number of gateways in the gateway's hall, as the gateway reports it.
     std::uint32_t near_gateways = 0;
-    // What it has at the target.
+    // The work that the gateway has at the target.
     Gateway::OwnWork work;
-    // When it was last told of the other gateways of the hall.
+    // When this sidecar last sent the gateway the list of the gateways in the hall.
     Common::TimePoint listed{};
   };
 
@@ -139,20 +144,21 @@
                Actions* actions);
   void OnWork(const Mesh::Sender& from, const Gateway::OwnWork& work, Common::TimePoint now,
               Actions* actions);
-  // Whether a gateway of the hall has said anything within so long.
+  // Whether a gateway of the hall has sent a message within the given time.
   bool SeesGateway(Common::Duration within, Common::TimePoint now) const;
-  // Asks seeds for gateways of the hall while none is known.
+  // Asks the seeds for gateways of the hall while no gateway of it is known.
   void SearchGateways(Common::TimePoint now, Actions* actions);
   void AskForBriefing(const std::vector<Common::Address>& gateways, Actions* actions);
-  // What all gateways have at the target.
+  // The work that all gateways together have at the target.
   Gateway::OwnWork WorkOfAll(Common::TimePoint now) const;
-  // Takes the plan and the peers, if they are not older than what is known.
+  // Adopts the plan and the peers of the hello unless they are older than the known ones.
   void OnBriefed(const Mesh::Hello& hello, Common::TimePoint now, Actions* actions);
-  // Of all halls, as those that are known say.
+  // Number of gateways in all halls, as the known gateways report it.
   std::uint32_t CountGateways() const;
-  // What comes to the gateways that send here.
+  // The arrivals at the gateways that send requests to this target.
   Gateway::GatewayDemand DemandOfAll() const;
-  // The target's load as it was reported, and what has come since.
+  // The target's load from the engine's last report, updated with the work that gateways have
+  // announced since then.
   Gateway::TargetLoad LoadNow(Common::TimePoint now) const;
   bool IsDue(const KnownGateway& gateway, bool has_news, Common::TimePoint now) const;
   void ChooseVersion(Common::TimePoint now, Actions* actions);
@@ -160,58 +166,64 @@
   void CopyAhead(std::uint64_t version, Common::TimePoint now, Actions* actions);
   void TellExchangeOfPeers(Common::TimePoint now, Actions* actions);
   void FetchVersion(std::uint64_t version, Common::TimePoint now, Actions* actions);
-  // Whether nothing needs to be fetched yet, as the engine has the newest version, or may have it.
+  // Whether the sidecar need not fetch anything yet, because the engine has the newest version or
+  // may have it.
   bool MayWaitWithFetching(std::uint64_t newest, Common::TimePoint now) const;
-  // Whether a newer version is to be copied instead of the one that is wanted.
+  // Whether the sidecar should copy a newer version instead of the wanted one.
   bool MayReplaceWanted(Common::TimePoint now) const;
-  // Whether so much of it is in the hall that the rest is soon there, too.
+  // Whether the hall holds so many pieces of the wanted version that the remaining ones will soon
+  // be there, too.
   bool IsWantedMostlyFetched(const Distribution::Swarm* swarm) const;
-  // Whether the version that was copied ahead is here before the wanted one was loaded: then that
-  // one is skipped, and the target is without work for one switch instead of two.
+  // Whether the version that was copied ahead is complete before the engine has loaded the wanted
+  // one: the wanted version is then skipped, and the target is out of service for one switch
+  // instead of two.
   bool MayJumpAhead(Common::TimePoint now) const;
-  // When the first of the named versions up to `newest` that the engine has not loaded is due.
+  // The earliest switch deadline of the named versions up to `newest` that the engine has not
+  // loaded.
   Common::TimePoint EarliestBound(std::uint64_t newest) const;
   Common::Duration CopyTime() const;
-  // How much the pieces of the wanted version are needed.
+  // How urgently the sidecar needs the pieces of the wanted version.
   enum class Urgency
   {
-    // The engine has the version, and its pieces may lie on the stage: nothing is fetched yet.
+    // The engine has the version, and its pieces may be on the stage: the sidecar fetches nothing
+    // yet.
     FindsStaged,
-    // The engine has the version: its pieces are kept for others.
+    // The engine has the version: the sidecar keeps the pieces for its peers.
     ForOthers,
     Usual,
-    // Needed so soon that requests may wait for them.
+    // The pieces are needed so soon that requests may wait for them.
     Haste,
   };
   Urgency UrgencyAt(Common::TimePoint now) const;
   std::uint32_t PiecesAtOnce() const;
-  // What one piece takes on the own link as it is now, and what a whole copy and the rest of one
-  // do.
+  // The transfer time of one piece over the local link at its current rate, and the times that
+  // follow from it for a whole copy and for the missing pieces of a copy.
   Common::Duration PieceTimeNow(Common::TimePoint now) const;
   Common::Duration WholeCopyTime(Common::TimePoint now) const;
   Common::Duration TimeToHold(const Distribution::Swarm* swarm, Common::TimePoint now) const;
-  // When the engine is to take the wanted version; empty if it has it.
+  // The time at which the engine should load the wanted version; empty if the engine has it.
   std::optional<Common::TimePoint> SwitchAt(Common::TimePoint now) const;
-  // The origin is a dependency: each time that it is lost or regained is told.
+  // The origin is a dependency: the sidecar logs each time that the origin is lost or regained.
   void NoteOrigin(const Common::Result<Common::Bytes>& result, Common::TimePoint now);
-  // Finds out under which id the engine is listed, once for each start of it.
+  // Reads the id under which the engine is listed, once for each start of the engine.
   void TickIdentity(Common::TimePoint now, Actions* actions);
   void OnEngineRestarted();
   void TickStage(Common::TimePoint now, Actions* actions);
   void TickLoader(Common::TimePoint now, Actions* actions);
   void LogProgress(Common::TimePoint now);
-  // All transfers since the start, so that two lines show what one push took.
+  // Logs the totals of all transfers since the start, so that the difference between two lines
+  // shows the transfers of one push.
   void LogHeld(std::uint64_t version, Common::TimePoint now) const;
   void TellLoad(Common::TimePoint now, Actions* actions);
   std::vector<Common::Address> NearGateways() const;
   void Translate(Distribution::Actions made, Common::TimePoint now, Actions* actions);
-  // What swarms know a version by.
+  // The digest by which swarms identify a version.
   static Common::Digest VersionDigest(const std::string& model, std::uint64_t version);
   const Distribution::Swarm* WantedSwarm() const;
   Distribution::ExchangeOptions MakeExchangeOptions() const;
   Common::Duration PieceTime() const;
   std::uint32_t DownloadsWhileLacking() const;
-  // What a piece takes on the origin's link.
+  // The transfer time of a piece over the origin's link.
   Common::Duration OriginPieceTime() const;
   Common::Duration ClaimLifetime() const;
 
@@ -221,12 +233,13 @@
   StageKeeper m_stage;
   WeightsLoader m_loader;
   Mesh::WeightsPlan m_plan;
-  // What gateways have told of the plan and the peers.
+  // The stamp of the plan and the peers that gateways have sent.
   Mesh::BriefingStamp m_stamp;
-  // Versions that were named, and since when this is known somewhere.
+  // The named versions, and the time since which any process knows each.
   std::map<std::uint64_t, Control::KnownSince> m_named;
   std::optional<Common::TimePoint> m_told_versions_until;
-  // The one that the engine is to load next, and a newer one that is copied meanwhile.
+  // The version that the engine should load next, a newer version that is copied in the meantime,
+  // and the version that was wanted before.
   std::uint64_t m_wanted = 0;
   std::uint64_t m_ahead = 0;
   std::uint64_t m_before = 0;
@@ -237,29 +250,30 @@
   std::vector<Mesh::Peer> m_peers;
   std::optional<Common::TimePoint> m_began;
   std::optional<EngineReport> m_report;
-  // What gateways had told of when the report was read.
+  // Number of requests that gateways had announced when the engine's report was read.
   std::uint32_t m_requests_at_report = 0;
-  // New work is told of by then.
+  // When newly announced work is reported to the gateways at the latest; empty if there is none.
   std::optional<Common::TimePoint> m_tell_due;
   Common::TimePoint m_told_at{};
   bool m_is_reading_report = false;
   std::uint32_t m_reports_failed = 0;
-  // Under which id the engine is listed; empty until it has said so.
+  // The id under which the engine is listed; empty until the engine has reported it.
   Gateway::TargetId m_target_id;
   bool m_is_reading_identity = false;
-  std::uint32_t m_identity_reads = 0; // since its start
+  std::uint32_t m_identity_reads = 0; // since the engine started
   Common::TimePoint m_identity_due{};
   Common::TimePoint m_report_due{};
   Common::TimePoint m_peers_due{};
   bool m_is_view_confirmed = false;
-  // Pieces found on the stage at the start, offered to the exchange once a manifest is known.
+  // Pieces that were found on the stage at the start. They are offered to the exchange once a
+  // manifest is known.
   std::vector<std::uint32_t> m_found_staged;
   bool m_has_listed = false;
   bool m_is_listing = false;
   std::uint32_t m_found_in_flight = 0;
   std::optional<Gateway::TargetLoad> m_told;
   Common::TimePoint m_progress_due{};
-  // Pieces asked of this sidecar, by the tag under which the exchange knows them.
+  // Piece requests of peers, by the tag under which the exchange knows them.
   struct Asked
   {
     Common::Address from;
--- a/Source/Core/Sidecar/SidecarEngine.cpp
+++ b/Source/Core/Sidecar/SidecarEngine.cpp
@@ -5,7 +5,8 @@
 
 #include "Common/EventLog.h"
 
-// A sidecar and its engine: the engine's reports, what lies on its stage, and the orders to load.
+// Communication of a sidecar with its engine: the engine's reports, the content of its stage, and
+// the load orders.
 namespace Holdpost::Sidecar
 {
 using Common::Duration;
@@ -16,12 +17,13 @@
 using Common::Weight;
 
 static constexpr std::uint32_t REPORTS_FAILED_MOST = 3;
-// An engine that is full does not say who it is; by then it is on the list.
+// An engine that is full does not report its id. After this number of reads the sidecar stops
+// asking, as the engine is in the target list by then.
 static constexpr std::uint32_t IDENTITY_READS_MOST = 4;
 static constexpr Milliseconds IDENTITY_PAUSE = Milliseconds(300);
-// Reads of what was found on the stage at once.
+// The maximum number of pieces found on the stage that are read at once.
 static constexpr std::uint32_t FOUND_READS_MOST = 2;
-// A proof older than this says nothing of what lies on the stage now.
+// A verification that is older than this does not show what is on the stage now.
 static constexpr Milliseconds PROOF_LIFETIME = Milliseconds(2000);
 
 void Sidecar::Handle(const ReportRead& event, TimePoint now, Actions* actions)
@@ -42,7 +44,7 @@
   if (m_reports_failed >= REPORTS_FAILED_MOST)
     LogEvent(Weight::Important, now, "engine.regained", "weights", report->weights_version);
   m_reports_failed = 0;
-  // While it loads it may tell of no weights at all.
+  // While the engine loads weights, it may report that it has no weights at all.
   const bool has_restarted =
       m_report &&
       (report->incarnation != m_report->incarnation || report->orders < m_report->orders ||
@@ -83,7 +85,7 @@
 {
   m_is_reading_identity = false;
   const auto* id = std::get_if<std::string>(&event.result);
-  // One that was asked for before the engine started anew is not that of the new one.
+  // An id that was requested before the engine restarted is not the id of the new incarnation.
   if (!id || m_identity_reads == 0)
     return;
   m_target_id = *id;
@@ -159,12 +161,12 @@
 void Sidecar::TickStage(TimePoint now, Actions* actions)
 {
   const Distribution::Swarm* swarm = WantedSwarm();
-  // While the engine takes weights from the stage, nothing there may change.
+  // While the engine loads weights from the stage, the stage must not change.
   if (!swarm || !swarm->ManifestHeld() || m_loader.IsUnderWay() || !m_report || m_report->is_busy)
     return;
   if (LoadedVersion() >= m_wanted && swarm->IsHeld() && m_stage.IsStaged())
     return;
-  // What an earlier incarnation left on the stage need not be fetched again.
+  // Pieces that an earlier incarnation of the sidecar left on the stage need not be fetched again.
   if (!m_has_listed && !m_is_listing)
   {
     m_is_listing = true;
--- a/Source/Core/Sidecar/SidecarGateways.cpp
+++ b/Source/Core/Sidecar/SidecarGateways.cpp
@@ -3,18 +3,20 @@
 
 #include <algorithm>
 
-// How a sidecar finds gateways of its hall, and what it takes from their hellos.
+// How a sidecar finds the gateways of its hall, and how it processes their hellos.
 namespace Holdpost::Sidecar
 {
 using Common::Address;
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// Without a message of a gateway for so long the platform is asked.
+// If no gateway of the hall sends a message for this time, the sidecar asks the platform.
 static constexpr Milliseconds ALONE_AFTER = Milliseconds(1500);
-// Gateways greet their hall's sidecars each 400 ms: one that is silent for longer is looked for.
+// Gateways send a hello to the sidecars of their hall every 400 ms. If no gateway of the hall has
+// sent a message for this time, the sidecar searches for one.
 static constexpr Milliseconds SEARCH_AFTER = Milliseconds(900);
-// Of the gateways that a seed names, so many are asked for a briefing: one may have just ended.
+// The number of gateways, of those that a seed names, that the sidecar asks for a briefing. It asks
+// more than one because a gateway may have just ended.
 static constexpr std::size_t BRIEFINGS_ASKED = 2;
 
 void Sidecar::OnHello(const Mesh::Sender& from, const Mesh::Hello& hello, TimePoint now,
@@ -57,7 +59,7 @@
 
 bool Sidecar::IsAlone(TimePoint now) const
 {
-  // After a start the gateways are given as long to speak first.
+  // After the sidecar starts, gateways have the same time to send their first message.
   if (!m_began || now - *m_began < ALONE_AFTER)
     return false;
   return !SeesGateway(ALONE_AFTER, now);
@@ -78,7 +80,8 @@
 
 void Sidecar::AskForBriefing(const std::vector<Address>& gateways, Actions* actions)
 {
-  // Others of the hall ask, too, so each begins at another place.
+  // Other sidecars of the hall send such requests, too, so each sidecar starts at a different
+  // position of the list.
   const std::size_t first = Common::StableHash(m_options.address.ToString());
   for (std::size_t i = 0; i < std::min(gateways.size(), BRIEFINGS_ASKED); ++i)
   {
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -8,7 +8,7 @@
 
 #include "Common/EventLog.h"
 
-// What a sidecar tells gateways, and its log.
+// The reports of a sidecar to gateways, and its log lines.
 namespace Holdpost::Sidecar
 {
 using Common::Address;
@@ -19,18 +19,19 @@
 using Common::Weight;
 
 static constexpr Milliseconds TELL_PERIOD = Milliseconds(100);
-// The same for gateways that do not need each report: they learn of versions by it.
+// The same period for gateways that do not need every report: they learn of versions from it.
 static constexpr Milliseconds TELL_PERIOD_UNUSED = Milliseconds(1000);
-// New work is told of at once, but not more often than this.
+// A sidecar reports new work at once, but leaves at least this time between two reports.
 static constexpr Milliseconds TELL_GAP = Milliseconds(10);
-// What a gateway had told of says nothing once it is silent for so long.
+// The work that a gateway announced no longer counts once the gateway has been silent for this
+// time.
 static constexpr Milliseconds WORK_LIFETIME = Milliseconds(1500);
-// Gateways are told of each other so often.
+// The period at which a sidecar sends the gateways of its hall the list of these gateways.
 static constexpr Milliseconds LIST_PERIOD = Milliseconds(1000);
-// Gateways are told of a version that was named not longer ago than this.
+// A sidecar reports a version to gateways if it has been known for no longer than this time.
 static constexpr Milliseconds TELL_VERSION_FOR = Milliseconds(20000);
 static constexpr Milliseconds GATEWAY_LIFETIME = Milliseconds(3000);
-// Gateways are told of a switch so long before.
+// A sidecar announces a switch to gateways this time in advance.
 static constexpr Milliseconds SWITCH_HORIZON = Milliseconds(3000);
 static constexpr Milliseconds PROGRESS_PERIOD = Milliseconds(500);
 
@@ -63,8 +64,8 @@
 
 std::uint32_t Sidecar::CountGateways() const
 {
-  // A sidecar is told of work by those that send to its target, and each of them knows those of its
-  // hall.
+  // The gateways that send requests to the target announce their work to the sidecar, and each of
+  // these gateways knows the gateways of its own hall.
   std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> halls;
   for (const auto& [address, gateway] : m_gateways)
   {
@@ -131,7 +132,8 @@
 {
   if (has_news)
     return true;
-  // A little early rather than one whole period late.
+  // A report goes out up to 20 ms before its period is over: otherwise it would have to wait for
+  // the next opportunity, a whole period later.
   const Duration period =
       (gateway.wants_load ? TELL_PERIOD : TELL_PERIOD_UNUSED) - Milliseconds(20);
   return now - gateway.told >= period || (gateway.wants_load && m_tell_due);
--- a/Source/Core/Sidecar/SidecarVersions.cpp
+++ b/Source/Core/Sidecar/SidecarVersions.cpp
@@ -9,7 +9,7 @@
 #include "Common/EventLog.h"
 #include "Common/Hash.h"
 
-// Which version of the weights a sidecar fetches, and when its target is to take it.
+// Decides which version of the weights a sidecar fetches, and when its target loads the version.
 namespace Holdpost::Sidecar
 {
 using Common::Digest;
@@ -19,19 +19,20 @@
 using Common::TimePoint;
 using Common::Weight;
 
-// From the last piece until all engines have loaded.
+// The time from the arrival of the last piece until all engines have loaded the version.
 static constexpr Milliseconds SWITCH_TIME = Milliseconds(2500);
-// A sidecar that starts beside an engine which has the newest version already needs its pieces for
-// others only. When all processes of a hall start again, copies that fill the links of all targets
-// would hold up the callers that come back.
+// A sidecar that starts beside an engine with the newest version needs the pieces of this version
+// only for its peers, so it waits for this time before it fetches them. When all processes of a
+// hall restart, copies that fill the links of all targets would delay the returning callers.
 static constexpr Milliseconds SETTLE_TIME = Milliseconds(10000);
-// The engine's first report says whether it has the version.
+// The time to wait for the engine's first report, which shows whether the engine has the version.
 static constexpr Milliseconds FIRST_REPORT_TIME = Milliseconds(100);
 
 Duration Sidecar::CopyTime() const
 {
-  // Of the time that one link needs for one copy. A switch waits for its copy anyhow, and a smaller
-  // figure lets who has one begin.
+  // The copy time as a multiple of the time that the link alone needs for one copy. A switch waits
+  // for its copy in any case, and a smaller factor lets a sidecar that already has its copy start
+  // the switch.
   static constexpr double OVER_LINK = 1.2;
   const double bytes = static_cast<double>(m_plan.pieces) * m_plan.piece_bytes;
   const auto rate =
@@ -46,22 +47,25 @@
   if (m_loader.IsUnderWay() || (swarm && swarm->IsHeld()))
     return false;
   const TimePoint bound = m_named.at(m_wanted).time + m_options.switch_within;
-  // A newer one that can take its place in time saves each target a switch. But the origin may go
-  // away before it is here, and then what was fetched of the older one is all that there is.
+  // A newer version that can replace the wanted one in time saves each target a switch. However,
+  // the origin may fail before the newer version is complete, and then the pieces of the older
+  // version are the only ones that the hall has.
   if (now + CopyTime() + SWITCH_TIME <= bound)
     return !IsWantedMostlyFetched(swarm);
-  // One that is going to be late anyhow, and is not nearly here, is not worth its bytes.
+  // The wanted version is not worth its bytes if it will miss its switch deadline in any case and
+  // more than half a copy of it is still missing.
   const Duration left = TimeToHold(swarm, now);
   return now + left > bound && left > WholeCopyTime(now) / 2;
 }
 
 bool Sidecar::IsWantedMostlyFetched(const Distribution::Swarm* swarm) const
 {
-  // What is left delays the newer version by up to a fifth of a copy, and each target may have to
-  // switch twice: less than that is not worth it.
+  // The missing pieces delay the newer version by up to a fifth of a copy, and each target may have
+  // to switch twice: a smaller part of the wanted version does not justify these costs.
   static constexpr double MOSTLY = 0.8;
-  // Halls learn of each other's pieces late. All of them know when the versions were named, so when
-  // the gap was long enough for nearly a whole copy, half of it in sight is enough.
+  // A hall learns late which pieces the other halls hold, but all halls know when the versions were
+  // named. So if the time between the two versions was sufficient for nearly a whole copy, it is
+  // sufficient that half of the pieces are known to be held.
   static constexpr double NEARLY_WHOLE = 0.9;
   static constexpr double HALF = 0.5;
   if (!swarm || !swarm->ManifestHeld())
@@ -107,7 +111,7 @@
   if (MayJumpAhead(now))
     return WantVersion(m_ahead, now, actions);
   const Distribution::Swarm* swarm = WantedSwarm();
-  // Once all of a version is in the hall, the origin has nothing else to do.
+  // Once the hall holds all pieces of a version, the origin has nothing else to send.
   const bool is_fetched = swarm && swarm->ManifestHeld() && swarm->PiecesUnseen() == 0;
   if (newest > m_ahead && is_fetched)
     CopyAhead(newest, now, actions);
@@ -120,7 +124,7 @@
   const Duration running = now - *m_began;
   if (!m_report)
     return m_reports_failed == 0 && running < FIRST_REPORT_TIME;
-  // Those that start together do not fetch together.
+  // The delay differs between sidecars, so that sidecars that start together do not fetch together.
   const auto spread = static_cast<Milliseconds::rep>(
       Common::StableHash(m_options.address.ToString()) % SETTLE_TIME.count());
   return LoadedVersion() >= newest && running < SETTLE_TIME + Milliseconds(spread);
@@ -128,7 +132,7 @@
 
 bool Sidecar::MayJumpAhead(TimePoint now) const
 {
-  // Until what was copied ahead is staged, proved and loaded.
+  // The time until the version that was copied ahead is staged, verified and loaded.
   static constexpr Milliseconds JUMP_TIME = Milliseconds(1000);
   if (m_ahead <= m_wanted || m_loader.IsUnderWay() || LoadedVersion() >= m_wanted)
     return false;
@@ -158,7 +162,7 @@
 {
   LogEvent(Weight::Important, now, "weights.wanted", "version", version, "before", m_wanted,
            "loaded", LoadedVersion(), "known_ms", now - m_named.at(version).time);
-  // A copy that was given up must not go on taking the links.
+  // A copy that was abandoned must not use the links any longer.
   if (const Distribution::Swarm* swarm = WantedSwarm(); swarm && swarm->IsHeld())
     m_before = m_wanted;
   m_wanted = version;
@@ -172,7 +176,7 @@
   const Digest digest = VersionDigest(m_plan.model, version);
   m_versions[digest] = version;
   Distribution::Actions made;
-  // The version before is kept for peers that still need it.
+  // The previous version is kept for peers that still need it.
   m_exchange.KeepOnly(
       {digest, VersionDigest(m_plan.model, m_wanted), VersionDigest(m_plan.model, m_before)},
       &made);
@@ -190,7 +194,7 @@
     const bool has_looked = m_has_listed && m_found_staged.empty() && m_found_in_flight == 0;
     return has_looked ? Urgency::ForOthers : Urgency::FindsStaged;
   }
-  // Nobody waits for answers of an engine that has no weights.
+  // An engine without weights answers no requests, so transfers at full rate delay nobody.
   if (LoadedVersion() == 0)
     return Urgency::Haste;
   const Distribution::Swarm* swarm = WantedSwarm();
@@ -203,10 +207,11 @@
 {
   if (m_wanted == 0 || LoadedVersion() >= m_wanted)
     return std::nullopt;
-  // One that answers nothing has nothing to lose.
+  // An engine that serves no requests loses nothing by switching at once.
   if (LoadedVersion() == 0 || (m_report && m_report->running + m_report->queued == 0))
     return now;
-  // One that skips a version has to come before the bound of that one.
+  // A version that replaces a skipped one has to be in use before the switch deadline of the
+  // skipped version.
   const TimePoint named = m_named.at(m_wanted).time;
   const SwitchWindow window{named, EarliestBound(m_wanted) - named, CopyTime()};
   const TimePoint planned =
--- a/Source/Core/Sidecar/StageKeeper.cpp
+++ b/Source/Core/Sidecar/StageKeeper.cpp
@@ -8,7 +8,7 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// Calls to the engine at once.
+// The maximum number of calls to the engine at once.
 static constexpr std::uint32_t CALLS_MOST = 2;
 static constexpr Milliseconds PAUSE_AFTER_FAILURE = Milliseconds(100);
 
@@ -82,7 +82,7 @@
   const auto* data = std::get_if<Common::Bytes>(&read.result);
   if (data && swarm.IsRight(read.piece, **data))
     return SetState(read.piece, State::Proven);
-  // Lost or spoilt: it is staged anew.
+  // The piece was lost or is corrupt: it is staged again.
   SetState(read.piece, State::Missing);
   if (!data)
     m_not_before = now + PAUSE_AFTER_FAILURE;
--- a/Source/Core/Sidecar/StageKeeper.h
+++ b/Source/Core/Sidecar/StageKeeper.h
@@ -12,8 +12,8 @@
 #include "Core/Distribution/Swarm.h"
 #include "Core/Sidecar/EngineMessages.h"
 
-// Brings the pieces of one version of weights to the engine's stage, and proves what lies there
-// before the engine loads it. The stage may lose pieces or hold spoilt ones.
+// Copies the pieces of one version of weights to the engine's stage, and verifies the content of
+// the stage before the engine loads it. The stage may lose pieces or hold corrupt ones.
 namespace Holdpost::Sidecar
 {
 using StageAction = std::variant<ListStaged, ReadStaged, StagePiece>;
@@ -22,20 +22,22 @@
 class StageKeeper
 {
 public:
-  // From now on the stage is to hold this version. What lies there of another one is overwritten.
+  // Sets the version that the stage should hold. Staged pieces of another version are overwritten.
   void Want(const std::string& model, std::uint64_t version, std::uint32_t pieces);
-  // Asks for what is needed next. `swarm` holds the verified pieces of the wanted version.
+  // Requests the next calls to the engine. `swarm` holds the verified pieces of the wanted version.
   void OnTick(const Distribution::Swarm& swarm, Common::TimePoint now, StageActions* actions);
 
   void OnStaged(const PieceStaged& staged, Common::TimePoint now);
-  // Returns the bytes if the piece was right.
+  // Processes the content of a piece that was read back: a correct piece is marked as verified, any
+  // other one is staged again.
   void OnRead(const StagedRead& read, const Distribution::Swarm& swarm, Common::TimePoint now);
-  // The piece lay on the stage already.
+  // Marks a piece that was on the stage already as staged.
   void OnFound(std::uint32_t piece);
 
-  // Every piece was read back and found right, the first of them at this time; empty if not.
+  // The time at which the current verification began, if every piece has been read back and found
+  // correct since then; otherwise empty.
   std::optional<Common::TimePoint> ProvenSince() const;
-  // Reads everything back once more.
+  // Discards the verification, so that all pieces are read back once more.
   void ProveAgain();
   std::size_t StagedCount() const { return m_staged; }
   std::size_t ProvenCount() const { return m_proven; }
--- a/Source/Core/Sidecar/SwitchSchedule.cpp
+++ b/Source/Core/Sidecar/SwitchSchedule.cpp
@@ -11,7 +11,7 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// Left at the end for what comes late and for the loading itself.
+// The time that is left before the switch deadline for late pieces and for loading the weights.
 static constexpr Duration END_MARGIN = Milliseconds(1000);
 
 std::size_t SwitchRank(const Common::Address& self, const std::vector<Mesh::Peer>& peers,
--- a/Source/Core/Sidecar/SwitchSchedule.h
+++ b/Source/Core/Sidecar/SwitchSchedule.h
@@ -7,23 +7,24 @@
 #include "Common/Types.h"
 #include "Core/Mesh/MeshMessages.h"
 
-// When each target of a service takes new weights: one after the other, so that the others carry
-// the load, and all in time. Every sidecar works out the same order alone.
+// Decides when each target of a service switches to new weights: one after the other, so that the
+// other targets carry the load, and all before the switch deadline. Each sidecar computes the same
+// order without messages to the others.
 namespace Holdpost::Sidecar
 {
 struct SwitchWindow
 {
   // When the version was named.
   Common::TimePoint named{};
-  // Until all targets have to have it.
+  // The time after which all targets have to use the version.
   Common::Duration within{};
-  // How long a copy takes when nothing goes wrong.
+  // The expected time of a copy if no transfer fails.
   Common::Duration copy{};
 };
 
-// The place of `self` in the order of switching to the version, from 0.
+// The position of `self` in the order in which the targets switch to the version, from 0.
 std::size_t SwitchRank(const Common::Address& self, const std::vector<Mesh::Peer>& peers,
                        std::uint64_t version);
-// When the target of the rank, of `count`, is to switch.
+// The time at which the target with the given rank, out of `count` targets, should switch.
 Common::TimePoint PlannedSwitch(const SwitchWindow& window, std::size_t rank, std::size_t count);
 } // namespace Holdpost::Sidecar
--- a/Source/Core/Sidecar/WeightsLoader.cpp
+++ b/Source/Core/Sidecar/WeightsLoader.cpp
@@ -12,7 +12,7 @@
 using Common::TimePoint;
 using Common::Weight;
 
-// Until gateways know that nothing new is taken here.
+// The time until gateways know that the target accepts no new requests.
 static constexpr Milliseconds ANNOUNCE_TIME = Milliseconds(30);
 static constexpr Milliseconds RETRY_PAUSE = Milliseconds(150);
 
@@ -34,8 +34,8 @@
   m_state = LoaderState::Ordered;
   m_since = now;
   m_is_unanswered = false;
-  // The engine's own count of orders never falls during one incarnation, and a new one forgets
-  // tokens.
+  // The engine's order count is also used as the fencing token. It never decreases during one
+  // incarnation, and a new incarnation forgets the tokens.
   return StartWeights{m_model, m_version, m_orders_seen, m_orders_seen};
 }
 
@@ -74,10 +74,10 @@
     LogEvent(Weight::Important, now, "switch.done", "version", m_version, "took_ms", now - m_since);
     m_state = LoaderState::Idle;
   }
-  // An engine that has started anew has forgotten the order.
+  // A restarted engine has forgotten the order.
   if (m_state == LoaderState::Loading && !report.is_busy && report.orders < m_orders_seen)
     m_state = LoaderState::Idle;
-  // What the engine reports while an order is open may be older than the order.
+  // A report that arrives while an order is open may be older than the order.
   if (m_state == LoaderState::Idle || m_state == LoaderState::Announced)
     m_orders_seen = report.orders;
 }
--- a/Source/Core/Sidecar/WeightsLoader.h
+++ b/Source/Core/Sidecar/WeightsLoader.h
@@ -9,32 +9,34 @@
 #include "Common/Types.h"
 #include "Core/Sidecar/EngineMessages.h"
 
-// Gives the engine the order to load staged weights, once for each version, and finds out what
-// became of an order without an answer before it gives another.
+// Orders the engine to load staged weights, once for each version. If an order gets no answer, the
+// loader finds out whether the engine accepted it before it sends another order.
 namespace Holdpost::Sidecar
 {
 enum class LoaderState
 {
-  // Nothing is to be loaded.
+  // No load is in progress.
   Idle,
-  // Gateways are told to send nothing new, before the order goes out.
+  // The switch is announced to the gateways, so that they send no new requests before the order
+  // goes out.
   Announced,
-  // The order is on its way.
+  // The order has been sent and its outcome is not known yet.
   Ordered,
-  // The engine has taken the order.
+  // The engine has accepted the order.
   Loading,
 };
 
 class WeightsLoader
 {
 public:
-  // Begins to load the version. Does nothing while another is being loaded.
+  // Starts loading the version. Does nothing while a version is being loaded or shortly after a
+  // failed order.
   void Begin(const std::string& model, std::uint64_t version, Common::TimePoint now);
-  // The order that is to go out now, if any.
+  // The order that is due at this time, if any.
   std::optional<StartWeights> OnTick(Common::TimePoint now);
   void OnAnswered(const StartAnswered& answered, Common::TimePoint now);
   void OnReport(const EngineReport& report, Common::TimePoint now);
-  // The engine cannot be reached; whatever it had begun is lost.
+  // The engine is unreachable or has restarted; a load that it had started is lost.
   void OnEngineLost();
 
   LoaderState State() const { return m_state; }
@@ -47,7 +49,7 @@
   LoaderState m_state = LoaderState::Idle;
   Common::TimePoint m_since{};
   std::uint64_t m_orders_seen = 0;
-  // The order had no answer: the next report decides.
+  // The order got no answer: the next report shows whether the engine accepted it.
   bool m_is_unanswered = false;
   Common::TimePoint m_not_before{};
 };
--- a/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
@@ -18,7 +18,7 @@
 const Mesh::Sender OTHER{"front-2", "here", {"10.0.0.2", 7700}, 1};
 const Mesh::Sender FAR{"front-3", "there", {"10.0.0.3", 7700}, 1};
 
-// A sidecar whose engine runs two requests, and three gateways, of which two want each report.
+// A sidecar whose engine runs two requests, and three gateways, of which two need every report.
 struct Fixture
 {
   Fixture()
@@ -54,7 +54,7 @@
     now += time;
     sidecar.OnTick(now, &actions);
   }
-  // The load that gateways were told since the last call, by their addresses.
+  // The loads that were reported to gateways since the last call, by gateway address.
   std::map<Address, Gateway::TargetLoad> Reports()
   {
     std::map<Address, Gateway::TargetLoad> told;
@@ -71,7 +71,7 @@
 };
 } // namespace
 
-TEST_CASE("New work at a target is told at once to the gateways that send there")
+TEST_CASE("New work at a target is reported at once to the gateways that send requests to it")
 {
   Fixture f;
   f.now += Milliseconds(30);
@@ -81,7 +81,7 @@
   CHECK(told.at(OTHER.address).running + told.at(OTHER.address).queued == 3);
   CHECK(told.at(OTHER.address).unread_prompt_tokens == 1200);
 
-  SUBCASE("but not more often than each ten milliseconds")
+  SUBCASE("but at most once every ten milliseconds")
   {
     f.now += Milliseconds(2);
     f.TellWork(OTHER, 1, 300);
@@ -94,7 +94,7 @@
     CHECK(told.at(NEAR.address).unread_prompt_tokens == 2000);
     CHECK(told.at(NEAR.address).running + told.at(NEAR.address).queued == 5);
   }
-  SUBCASE("work that ends is told with the next report")
+  SUBCASE("ended work is reported with the next periodic report")
   {
     f.now += Milliseconds(20);
     f.TellWork(NEAR, 0, 0);
@@ -105,7 +105,7 @@
     CHECK(told.at(NEAR.address).running + told.at(NEAR.address).queued == 2);
     CHECK(told.at(NEAR.address).unread_prompt_tokens == 0);
   }
-  SUBCASE("what the engine's report holds already is not counted twice")
+  SUBCASE("work that the engine's report already contains is not counted twice")
   {
     f.now += Milliseconds(80);
     f.ReadReport(3, 0);
@@ -113,7 +113,7 @@
     CHECK(told.at(NEAR.address).running == 3);
     CHECK(told.at(NEAR.address).queued == 0);
   }
-  SUBCASE("a gateway that has fallen silent has nothing there any more")
+  SUBCASE("a gateway that has become silent counts as having nothing at the target")
   {
     f.now += Milliseconds(1600);
     f.Receive(OTHER, true);
@@ -122,7 +122,7 @@
   }
 }
 
-TEST_CASE("Gateways are told what comes to all that send to a target")
+TEST_CASE("A load report holds the arrivals at all gateways that send requests to the target")
 {
   Fixture f;
   f.Receive(NEAR, true, {30, 0.5});
@@ -135,7 +135,7 @@
   CHECK(demand.far_per_second == 0);
   CHECK(demand.refused_share == doctest::Approx(0.4));
 
-  SUBCASE("those of other halls as long as they need it")
+  SUBCASE("including gateways of other halls that need every report")
   {
     f.Receive(FAR, true, {40, 0});
     f.now += Milliseconds(100);
@@ -146,7 +146,8 @@
   }
 }
 
-TEST_CASE("A sidecar counts the gateways that tell it of work and those that they know of")
+TEST_CASE(
+    "A sidecar counts the gateways that send it messages and those that these gateways report")
 {
   Fixture f;
   const auto count = [&]
@@ -167,7 +168,7 @@
   CHECK(count() == 12);
 }
 
-TEST_CASE("A sidecar takes the plan and the peers from whoever knows the newest")
+TEST_CASE("A sidecar adopts the newest plan and the newest peers that any gateway sends")
 {
   Fixture f;
   Mesh::Hello hello;
@@ -188,7 +189,7 @@
   CHECK(std::get<Mesh::LoadReport>(told[0].message).stamp == Mesh::BriefingStamp{7, 50});
 }
 
-TEST_CASE("Gateways that do not need each report get one each second")
+TEST_CASE("Gateways that do not need every report get one per second")
 {
   Fixture f;
   int far = 0;
@@ -203,7 +204,7 @@
   CHECK(far >= 4);
   CHECK(far <= 6);
 
-  SUBCASE("until they do")
+  SUBCASE("until they need every report")
   {
     f.Receive(FAR, true);
     f.now += Milliseconds(30);
@@ -212,7 +213,8 @@
   }
 }
 
-TEST_CASE("The way to a sidecar is measured from its gateway's hello, whatever came since")
+TEST_CASE(
+    "The round trip to a sidecar is measured from the gateway's hello, even after later messages")
 {
   Fixture f;
   Mesh::Hello hello;
--- a/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
@@ -17,7 +17,7 @@
 const Mesh::Sender GATEWAY{"front-1", "here", {"10.0.0.1", 7700}, 1};
 const Mesh::WeightsPlan PLAN{"llm", "m", 96, 24576, Milliseconds(300), {"10.9.0.1", 80}, "here"};
 
-// A sidecar that has just started and knows nothing but a seed.
+// A sidecar that has just started and knows only a seed.
 struct Fixture
 {
   void Tick(Common::Duration after)
@@ -26,7 +26,7 @@
     sidecar.OnTick(now, &actions);
   }
   void Receive(const Mesh::Message& message) { sidecar.OnMessage(GATEWAY, message, now, &actions); }
-  // Messages of the kind since the last call, by their receivers.
+  // The receivers of the messages of this type that were sent since the last call.
   template <typename Message>
   std::vector<Address> Told()
   {
@@ -54,7 +54,8 @@
   fixture.Tick(Milliseconds(0));
   REQUIRE(fixture.Told<Mesh::AskGateways>() == std::vector{SEED});
 
-  SUBCASE("and some of these for a briefing, so that it need not wait until it is on the list")
+  SUBCASE("and asks some of these gateways for a briefing, so that it need not wait until it is in "
+          "the target list")
   {
     const std::vector<Address> named = {{"10.0.0.1", 7700}, {"10.0.0.2", 7700}, {"10.0.0.3", 7700}};
     fixture.Receive(Mesh::TellGateways{named});
@@ -74,14 +75,14 @@
     fixture.Tick(Milliseconds(300));
     CHECK(fixture.Told<Mesh::AskGateways>().empty());
   }
-  SUBCASE("again while none answers, and the platform once it has waited long enough")
+  SUBCASE("and asks again while no gateway answers, and the platform after a timeout")
   {
     fixture.Tick(Milliseconds(250));
     CHECK(fixture.Told<Mesh::AskGateways>().size() == 1);
     CHECK_FALSE(fixture.sidecar.IsAlone(START + Milliseconds(1400)));
     CHECK(fixture.sidecar.IsAlone(START + Milliseconds(1600)));
   }
-  SUBCASE("again when a gateway that called has no plan yet")
+  SUBCASE("and asks again when a gateway sends a hello without a plan")
   {
     Mesh::Hello hello;
     hello.is_gateway = true;
@@ -91,7 +92,7 @@
   }
 }
 
-TEST_CASE("A gateway has told of no versions while the sidecar does not know the model")
+TEST_CASE("Versions that a gateway reports do not count while the sidecar does not know the model")
 {
   Fixture fixture;
   fixture.Tick(Milliseconds(0));
@@ -100,7 +101,7 @@
   hello.weights = {{{"m", 3}, Milliseconds(30000)}};
   fixture.Receive(hello);
   CHECK_FALSE(fixture.sidecar.ToldVersionsUntil().has_value());
-  // It goes on with the platform, which says nothing of when the version was named.
+  // The sidecar takes the plan from the platform, which does not report when the version was named.
   fixture.sidecar.OnPlan(PLAN, fixture.now);
   Mesh::Hello whole = hello;
   whole.plan = PLAN;
--- a/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
@@ -14,7 +14,7 @@
 const Common::TimePoint START{std::chrono::hours(1)};
 const Mesh::Sender GATEWAY{"front-1", "here", {"10.0.0.1", 7700}, 1};
 
-// A sidecar that knows at which page its engine says who it is.
+// A sidecar that knows the page on which its engine reports its id.
 struct Fixture
 {
   Fixture()
@@ -33,14 +33,14 @@
     report.weights_version = 1;
     sidecar.Handle(ReportRead{report}, now, &actions);
   }
-  // The pages that are asked for within so long.
+  // The id reads that the sidecar requests after the given time has passed.
   std::vector<ReadIdentity> Pass(Common::Duration time)
   {
     now += time;
     sidecar.OnTick(now, &actions);
     return Take<ReadIdentity>(actions);
   }
-  // The id that the gateway is told with the next report.
+  // The id in the next report to the gateway.
   Gateway::TargetId ToldId()
   {
     actions.clear();
@@ -65,7 +65,7 @@
 };
 } // namespace
 
-TEST_CASE("A sidecar finds out under which id its engine is listed")
+TEST_CASE("A sidecar reads the id under which its engine is listed")
 {
   Fixture f;
   CHECK(f.Pass(Milliseconds(10)).empty());
@@ -75,13 +75,13 @@
   CHECK(asked[0].page == "/who-are-you");
   CHECK(f.ToldId().empty());
 
-  SUBCASE("once, and tells it with its reports")
+  SUBCASE("once, and sends it with its reports")
   {
     f.sidecar.Handle(IdentityRead{std::string("i-1")}, f.now, &f.actions);
     CHECK(f.ToldId() == "i-1");
     CHECK(f.Pass(Milliseconds(2000)).empty());
 
-    SUBCASE("and anew once the engine has started again")
+    SUBCASE("and reads it again after the engine has restarted")
     {
       f.incarnation = 2;
       f.Report(2);
@@ -91,14 +91,14 @@
       CHECK(f.ToldId() == "i-2");
     }
   }
-  SUBCASE("an answer of the engine before is not believed")
+  SUBCASE("but ignores an answer of an earlier incarnation of the engine")
   {
     f.incarnation = 2;
     f.Report(2);
     f.sidecar.Handle(IdentityRead{std::string("i-1")}, f.now, &f.actions);
     CHECK(f.ToldId().empty());
   }
-  SUBCASE("a few times if it does not say")
+  SUBCASE("and retries a few times if the engine does not report it")
   {
     std::size_t reads = 0;
     for (int i = 0; i < 20; ++i)
--- a/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
@@ -20,11 +20,11 @@
   CHECK(seconds < 8.0);
   CHECK(world.Fault().empty());
   CHECK(world.CopiesFromOrigin() - fetched_before < 1.3);
-  // Into each of the two other halls once.
+  // One copy crosses into each of the two other halls.
   CHECK(world.CopiesAcross() < 2.6);
 }
 
-TEST_CASE("Engines take new weights one after the other")
+TEST_CASE("Engines switch to new weights one after the other")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -41,7 +41,7 @@
   CHECK(least >= world.Count() - 4);
 }
 
-TEST_CASE("An origin that comes back is used again soon")
+TEST_CASE("An origin that becomes reachable again is soon used again")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -59,11 +59,11 @@
   CHECK(SecondsUntilLoaded(world, 2) < 4.0);
 }
 
-TEST_CASE("Slow links don't hold up the others")
+TEST_CASE("Sidecars with slow links don't delay the others")
 {
   SidecarWorld world = MakeWorld({{{"a", 6}, {"b", 7}, {"c", 7}}});
   world.RunFor(Milliseconds(3000));
-  // One in the origin's hall, one elsewhere.
+  // One sidecar in the origin's hall, and one in another hall.
   const std::vector<std::size_t> slow = {8, 15};
   world.Name(2);
   world.RunFor(Milliseconds(300));
@@ -73,7 +73,7 @@
   CHECK(world.CopiesFromOrigin() < 2.0);
 }
 
-TEST_CASE("A narrow link is used in full for weights, and left open for requests")
+TEST_CASE("A narrow link is fully used for weights, but its queue stays short for requests")
 {
   static constexpr std::uint64_t NARROW = 82000;
   static constexpr std::size_t NODE = 5;
@@ -83,10 +83,11 @@
   world.Name(2);
   world.RunFor(Milliseconds(6000));
   const auto held = [&](std::uint64_t version) { return world.At(NODE).PiecesHeld(version); };
-  // The link carries 20 in this time, less what it takes to find out that it is narrow.
+  // The link carries 20 pieces in this time, less the time that the sidecar needs to detect that
+  // the link is narrow.
   CHECK(held(2) >= 8);
 
-  // With the next version it is known to be narrow from the start.
+  // With the next version, the link is known to be narrow from the start.
   world.Name(3);
   world.RunFor(Milliseconds(1000));
   std::size_t most = 0;
@@ -96,11 +97,11 @@
     most = std::max(most, world.WaitingFor(NODE));
   }
   CHECK(most < 3 * 24576);
-  // The link carries 16, and news of what the peers hold.
+  // The link carries 16 pieces in this time, and the announcements of the pieces that peers hold.
   CHECK(held(3) >= 4);
 }
 
-TEST_CASE("Sidecars that are killed in the middle of a push are made up for")
+TEST_CASE("Sidecars that are killed in the middle of a push do not delay it")
 {
   SidecarWorld world = MakeWorld({{{"a", 6}, {"b", 7}, {"c", 7}}});
   world.RunFor(Milliseconds(3000));
@@ -113,7 +114,7 @@
   CHECK(world.Fault().empty());
 }
 
-TEST_CASE("A hall whose sidecars are all cut off does not hold up the others")
+TEST_CASE("A hall whose sidecars are all cut off does not delay the other halls")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -140,7 +141,7 @@
   }
 }
 
-TEST_CASE("What the origin spoils is not believed")
+TEST_CASE("Corrupt answers of the origin are rejected")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed)
   {
@@ -157,7 +158,7 @@
   }
 }
 
-TEST_CASE("Pieces that turn bad on the stage never reach an engine")
+TEST_CASE("Pieces that are corrupted on the stage never reach an engine")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -165,11 +166,12 @@
   world.RunFor(Milliseconds(3500));
   for (std::size_t node = 0; node < world.Count(); ++node)
     world.SpoilStage(node, static_cast<std::uint32_t>(node));
-  // What turned bad within the last moments before an order may be missed; this was long before.
+  // Corruption in the last moments before an order may go unnoticed; the corruption of this test
+  // comes long before the orders.
   CHECK(SecondsUntilLoaded(world, 2) < 8.0);
 }
 
-TEST_CASE("A new engine without weights gets them from its hall")
+TEST_CASE("A new engine without weights gets the weights from its hall")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -185,7 +187,7 @@
   CHECK(world.CopiesFromOrigin() - fetched_before < 0.1);
 }
 
-TEST_CASE("Sidecars that start again beside loaded engines leave the links to callers")
+TEST_CASE("Sidecars that restart beside loaded engines leave the links to callers")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -194,7 +196,7 @@
   world.RunFor(Milliseconds(3000));
   const double sent_before = world.CopiesBetweenNodes();
   const double fetched_before = world.CopiesFromOrigin();
-  // A loss of power takes the stages, too.
+  // A power loss also destroys the content of the stages.
   for (std::size_t node = 0; node < world.Count(); ++node)
   {
     world.Restart(node, Milliseconds(900));
@@ -205,12 +207,12 @@
   CHECK(world.CopiesBetweenNodes() == sent_before);
   CHECK(world.CopiesFromOrigin() == fetched_before);
 
-  SUBCASE("and take the next version as soon as it is named")
+  SUBCASE("and switch to the next version as soon as it is named")
   {
     world.Name(3);
     CHECK(SecondsUntilLoaded(world, 3) < 8.0);
   }
-  SUBCASE("and have the pieces for others a while later")
+  SUBCASE("and hold the pieces for their peers a while later")
   {
     world.RunFor(Milliseconds(40000));
     CHECK(world.At(0).PiecesHeld(2) == 96);
@@ -219,7 +221,7 @@
   CHECK(world.Fault().empty());
 }
 
-TEST_CASE("What lies on the stage is not fetched again after a start")
+TEST_CASE("Pieces on the stage are not fetched again after a restart")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -232,18 +234,19 @@
   world.RunFor(Milliseconds(40000));
   for (std::size_t node = 0; node < world.Count(); ++node)
     CHECK(world.At(node).PiecesHeld(2) == 96);
-  // The manifests, and a piece here and there.
+  // The manifests and a few single pieces.
   CHECK(world.CopiesBetweenNodes() - sent_before < 0.2 * static_cast<double>(world.Count()));
 }
 
-TEST_CASE("Sidecars do not wake up more often than there is something to do")
+TEST_CASE("Sidecars wake up only when there is something to do")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
   world.Name(2);
   const std::uint64_t before = world.TicksOf(0);
   SecondsUntilLoaded(world, 2);
-  // About 8 s: pieces, reports and timers, but no busy waiting for confirmations.
+  // The push takes about 8 s: wakeups for pieces, reports and timers are expected, but no busy
+  // waiting for confirmations.
   CHECK(world.TicksOf(0) - before < 4000);
 }
 
@@ -261,7 +264,7 @@
     world.SetOriginDown(false);
     const double seconds = SecondsUntilLoaded(world, 2);
     MESSAGE("3 halls of " << per_hall << ": loaded by all " << seconds / LINK_SECONDS
-                          << " times the bound after the origin's return, "
+                          << " times the link's copy time after the origin's return, "
                           << world.CopiesFromOrigin() - fetched_before
                           << " copies from the origin");
     CHECK(world.Fault().empty());
@@ -270,7 +273,8 @@
   }
 }
 
-TEST_CASE("Halls that get answers of the origin's hall leave the origin to it when it comes back")
+TEST_CASE(
+    "Halls that get pieces from the origin's hall do not use the origin when it is reachable again")
 {
   WorldOptions options;
   options.halls = {{"a", 16}, {"b", 16}, {"c", 16}, {"d", 16}, {"e", 16}};
@@ -292,9 +296,10 @@
   CHECK(fetched < 2.0 * missing);
 }
 
-TEST_CASE("The push stays near the link's bound as halls grow")
+TEST_CASE("The duration of a push stays near the transfer time of the link as halls grow")
 {
-  // The aim is 1.3 at any size. Until it is reached, halls that grow must not take longer.
+  // The goal is 1.3 at any hall size. Until it is reached, the time must not grow with the hall
+  // size.
   for (const auto& [per_hall, most] : {std::pair(4, 1.6), std::pair(8, 1.6), std::pair(16, 1.6)})
   {
     SidecarWorld world = MakeWorld({{{"a", per_hall}, {"b", per_hall}, {"c", per_hall}}});
@@ -316,21 +321,22 @@
         Milliseconds(20000));
     const double seconds = std::chrono::duration<double>(world.Now() - begin).count();
     MESSAGE("3 halls of " << per_hall << ": held by all after " << seconds / LINK_SECONDS
-                          << " times the bound, " << world.CopiesFromOrigin() - fetched_before
+                          << " times the link's copy time, "
+                          << world.CopiesFromOrigin() - fetched_before
                           << " copies from the origin, " << world.CopiesAcross() - across_before
                           << " across halls");
     CHECK(seconds < most * LINK_SECONDS);
     CHECK(world.CopiesFromOrigin() - fetched_before < 1.1);
-    // Once into each of the two other halls.
+    // One copy crosses into each of the two other halls.
     CHECK(world.CopiesAcross() - across_before < 2.3);
   }
 }
 
-TEST_CASE("Answers wait behind few pieces while a version is copied")
+TEST_CASE("Messages queue behind few pieces while a version is copied")
 {
   WorldOptions options;
   options.halls = {{"a", 16}, {"b", 16}, {"c", 16}};
-  // The mean time that a message to a sidecar would have waited on its link.
+  // The mean time that a message to a sidecar would have to wait for its link.
   const auto mean_wait_ms = [](SidecarWorld& world)
   {
     double waiting = 0;
@@ -358,16 +364,17 @@
   MESSAGE("a message waits for ", wait, " ms, a copy takes ", seconds, " s");
   CHECK(wait < 10);
 
-  SUBCASE("and longer, for a copy that comes sooner, when it is needed soon")
+  SUBCASE("and behind more pieces, for a faster copy, when the version is needed soon")
   {
     const auto [wait_in_haste, seconds_in_haste] = push(Milliseconds(5000));
-    MESSAGE("in haste: ", wait_in_haste, " ms and ", seconds_in_haste, " s");
+    MESSAGE("while the version is needed soon: ", wait_in_haste, " ms and ", seconds_in_haste,
+            " s");
     CHECK(wait_in_haste > wait);
     CHECK(seconds_in_haste < seconds);
   }
 }
 
-TEST_CASE("A lost and regained origin is logged once each")
+TEST_CASE("The loss and the return of the origin are logged once each")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
--- a/Source/UnitTests/Core/Sidecar/SidecarVersionsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarVersionsTest.cpp
@@ -8,7 +8,7 @@
 using Common::Milliseconds;
 using namespace Holdpost::Testing;
 
-TEST_CASE("A version that is named while the one before is loaded is copied meanwhile")
+TEST_CASE("A version that is named while the previous one is loaded is copied at the same time")
 {
   SidecarWorld world = MakeWorld();
   NameTwo(world, Milliseconds(4000));
@@ -17,7 +17,7 @@
   CHECK(world.Fault().empty());
 }
 
-TEST_CASE("A copy that is given up for a newer version stops")
+TEST_CASE("A copy that is replaced by the copy of a newer version stops")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
@@ -30,46 +30,47 @@
   CHECK(world.Fault().empty());
 }
 
-TEST_CASE("A version that is mostly here when the next one is named is brought to its end")
+TEST_CASE("A version that is mostly fetched when the next one is named is completed")
 {
   SidecarWorld world = MakeWorld();
   NameTwo(world, Milliseconds(2500));
-  SUBCASE("so engines have it in time when the origin goes away before the next one is here")
+  SUBCASE("so engines have it in time when the origin goes away before the next one is complete")
   {
     world.RunFor(Milliseconds(900));
     world.SetOriginDown(true);
     world.RunFor(BOUND - Milliseconds(3400));
     CHECK(world.HaveAllLoaded(2));
   }
-  SUBCASE("and the next one is in time, too")
+  SUBCASE("and the next one is also loaded in time")
   {
     CHECK(SecondsUntilLoaded(world, 3) < 8.0);
   }
   CHECK(world.Fault().empty());
 }
 
-TEST_CASE("An engine that has not taken a version when the next one is here skips it")
+TEST_CASE("An engine that has not loaded a version when the next one is complete skips it")
 {
   SidecarWorld world = MakeWorld();
   NameTwo(world, Milliseconds(2500));
   Testing::LogCapture log;
   CHECK(SecondsUntilLoaded(world, 3) < 8.0);
-  // Each engine that takes both is out of service twice.
+  // An engine that loads both versions is out of service twice.
   const std::size_t begun = log.Lines("switch.begun").size();
   CHECK(begun >= world.Count());
   CHECK(begun < 2 * world.Count());
   CHECK(world.Fault().empty());
 }
 
-TEST_CASE("The next version is fetched as soon as the origin is free")
+TEST_CASE("The next version is fetched as soon as the origin has sent the previous one")
 {
   SidecarWorld world = MakeWorld();
   NameTwo(world, Milliseconds(2400));
-  // Any member of the origin's hall.
+  // Whether any member of the origin's hall has started with the next version.
   const auto has_begun = [&](std::size_t node) { return world.At(node).PiecesHeld(3) > 0; };
   world.RunUntil([&] { return has_begun(4) || has_begun(5) || has_begun(6) || has_begun(7); },
                  Milliseconds(10000));
-  // The last members of a hall get their last pieces of the version before meanwhile.
+  // In the meantime, the last members of the hall still receive their last pieces of the previous
+  // version.
   const auto lacks_pieces = [&](std::size_t node) { return world.At(node).PiecesHeld(2) < 96; };
   CHECK((lacks_pieces(4) || lacks_pieces(5) || lacks_pieces(6) || lacks_pieces(7)));
   CHECK(SecondsUntilLoaded(world, 3) < 8.0);
@@ -90,15 +91,16 @@
   };
   CHECK(seconds_each() == 0);
   world.Name(2);
-  SUBCASE("one version: what runs ends, then the weights are loaded")
+  SUBCASE("one version: the running requests end, then the weights are loaded")
   {
     SecondsUntilLoaded(world, 2);
     MESSAGE("one version: ", seconds_each(), " s each");
     CHECK(seconds_each() < 2.0);
   }
-  // Engines that wait for the second one alone would be out for 1.8 s, but those on a machine that
-  // stands still meanwhile would begin requests on weights that are too old.
-  SUBCASE("two within seconds: both are taken")
+  // Engines that wait for the second version alone would be out of service for 1.8 s, but an engine
+  // on a machine that is stalled in the meantime would start requests with weights that are too
+  // old.
+  SUBCASE("two versions within seconds: both are loaded")
   {
     world.RunFor(Milliseconds(3000));
     world.Name(3);
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
@@ -27,11 +27,12 @@
 static constexpr std::uint64_t GATEWAY_LINK = 125'000'000;
 static constexpr std::size_t HELLO_BYTES = 500;
 static constexpr Duration WARM_UP = Milliseconds(300);
-// Gateways send nothing that might begin on old weights for so long before the bound.
+// Before a switch deadline, gateways send no requests for this time that an engine might start with
+// old weights.
 static constexpr Duration BOUND_MARGIN = Milliseconds(700);
 static constexpr Duration SERVE_PERIOD = Milliseconds(10);
 static constexpr Duration BRIEFING = Milliseconds(400);
-// Of messages other than pieces.
+// The size of messages that carry no piece.
 static constexpr std::size_t SMALL_BYTES = 120;
 
 SidecarWorld::SidecarWorld(const WorldOptions& options) : m_options(options), m_random(options.seed)
@@ -136,7 +137,7 @@
   ScheduleTick(node);
 }
 
-// What happened may have made the next tick due earlier.
+// The event that was just handled may have moved the next tick to an earlier time.
 void SidecarWorld::ScheduleTick(std::size_t node)
 {
   Node& self = m_nodes[node];
@@ -158,7 +159,8 @@
 
 Bytes SidecarWorld::PieceOf(std::uint64_t version, std::uint32_t piece) const
 {
-  // Most of a piece is the same everywhere: only sizes and differences matter here.
+  // The content of a piece is mostly the same for all pieces: only sizes and differences matter
+  // here.
   std::string data = fmt::format("{}/{}/", version, piece);
   data.resize(m_options.piece_bytes, 'w');
   return Common::MakeBytes(std::move(data));
@@ -394,7 +396,7 @@
   if (std::uniform_real_distribution<double>(0, 1)(m_random) < m_spoilt_share)
   {
     std::string spoilt = *data;
-    // A digest in a manifest stays readable; a piece only changes.
+    // A digest in a manifest is changed so that it stays readable; in a piece, any byte is changed.
     const std::size_t at = spoilt.find("\"pieces\"");
     spoilt[is_manifest ? at + 15 : 3] = is_manifest ? '0' : 'X';
     data = Common::MakeBytes(std::move(spoilt));
@@ -440,7 +442,7 @@
            { Receive(receiver, incarnation, sender, message); });
 }
 
-// --- what is seen and what goes wrong ---
+// --- observations and injected faults ---
 
 bool SidecarWorld::HasLoaded(std::size_t node, std::uint64_t version) const
 {
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.h
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.h
@@ -14,8 +14,8 @@
 #include "Core/Sidecar/Sidecar.h"
 #include "Support/QueueLink.h"
 
-// A small world on a virtual clock for tests of sidecars: their links, engines and the origin of
-// weights.
+// A simulation on a virtual clock for tests of sidecars: it contains the sidecars' links and
+// engines and the origin of weights.
 namespace Holdpost::Testing
 {
 struct WorldOptions
@@ -26,9 +26,10 @@
   std::uint32_t piece_bytes = 24576;
   std::uint64_t link_bytes_per_second = 912500;
   std::uint64_t seed = 1;
-  // What runs at an engine ends so long after it takes nothing new; an order waits for that.
+  // The time after which the running requests of an engine have ended once the engine accepts no
+  // new ones; a load order waits for them.
   Common::Duration run_time{};
-  // Versions have to be in use everywhere so long after they were named.
+  // The time after its naming at which a version has to be in use at every engine.
   Common::Milliseconds switch_within{8000};
 };
 
@@ -37,42 +38,44 @@
 public:
   explicit SidecarWorld(const WorldOptions& options);
 
-  // Names new weights to all sidecars, as a gateway of each hall does.
+  // Names new weights to all sidecars, as a gateway in each hall does.
   void Name(std::uint64_t version);
   void RunFor(Common::Duration time);
-  // Returns false if it did not come true in time.
+  // Runs until `done` returns true. Returns false if this does not happen in time.
   bool RunUntil(const std::function<bool()>& done, Common::Duration most);
 
   std::size_t Count() const { return m_nodes.size(); }
   bool HasLoaded(std::size_t node, std::uint64_t version) const;
-  // All but the listed ones.
+  // Whether all engines except the listed ones have loaded the version.
   bool HaveAllLoaded(std::uint64_t version, const std::vector<std::size_t>& except = {}) const;
-  // Engines that answer requests at this moment, with any weights.
+  // Number of engines that can answer requests at this moment, with any version of the weights.
   std::size_t Serving() const;
-  // The time for which engines did not answer requests, summed over all of them: they loaded
-  // weights, or those that they had were too old.
+  // The time for which engines did not answer requests, summed over all engines: they were loading
+  // weights, or their weights were too old.
   Common::Duration OutOfService() const { return m_out_of_service; }
   double CopiesFromOrigin() const;
-  // Bytes of pieces that went from one hall to another, in copies.
+  // Bytes of pieces that crossed from one hall to another, in copies.
   double CopiesAcross() const;
   Common::TimePoint Now() const { return m_now; }
-  // Names what went wrong, if an engine took weights that were not whole.
+  // Describes the fault if an engine loaded weights that were not complete and correct; otherwise
+  // empty.
   const std::string& Fault() const { return m_fault; }
   // Bytes that wait for the link to the node.
   std::size_t WaitingFor(std::size_t node) const { return m_nodes[node].down->BytesWaiting(); }
 
-  // --- what goes wrong ---
+  // --- injected faults ---
   void SetLink(std::size_t node, std::uint64_t bytes_per_second);
-  // The process ends and starts again after a while; its stage stays.
+  // The sidecar's process ends and starts again after the given time; the content of the stage
+  // stays.
   void Restart(std::size_t node, Common::Duration after);
-  // Messages to and from the node are lost.
+  // While a node is cut off, messages to and from it are lost.
   void SetCut(std::size_t node, bool is_cut) { m_nodes[node].is_cut = is_cut; }
-  // This share of the origin's answers is spoilt.
+  // Corrupts this share of the origin's answers.
   void SpoilOrigin(double share) { m_spoilt_share = share; }
-  // The origin refuses connections, and breaks those off that are open.
+  // While the origin is down, it refuses connections and breaks the open ones.
   void SetOriginDown(bool is_down) { m_is_origin_down = is_down; }
   void SpoilStage(std::size_t node, std::uint32_t piece);
-  // The engine starts anew and holds no weights.
+  // The engine restarts without weights.
   void LoseWeights(std::size_t node) { m_nodes[node].loaded = 0; }
   // Bytes of pieces that sidecars have sent to each other, in copies.
   double CopiesBetweenNodes() const;
@@ -92,7 +95,7 @@
     bool is_cut = false;
     std::uint64_t ticks = 0;
     Common::TimePoint tick_due{};
-    // The engine.
+    // The state of the engine.
     std::map<std::uint32_t, Common::Bytes> stage;
     std::uint64_t loaded = 0;
     bool is_busy = false;
@@ -100,7 +103,8 @@
     Common::TimePoint last_taken{};
   };
 
-  // Bytes that are sent one way, no more than a window of them unreceived.
+  // A connection that sends bytes in one direction, with at most one window of bytes that have not
+  // been received.
   struct Connection
   {
     struct Packet
@@ -108,7 +112,7 @@
       std::size_t bytes;
       QueueLink* from;
       QueueLink* to;
-      std::function<void()> done; // empty for all but the last of a message
+      std::function<void()> done; // empty for all but the last packet of a message
     };
     std::deque<Packet> unsent;
     std::size_t in_flight = 0;
@@ -125,7 +129,7 @@
     }
   };
 
-  // Connections to the origin have numbers above those between sidecars.
+  // Connections to the origin have numbers above the numbers of connections between sidecars.
   static constexpr std::uint64_t FIRST_OF_ORIGIN = 1'000'000;
 
   void At(Common::TimePoint at, std::function<void()> run);
@@ -133,7 +137,7 @@
   void Tick(std::size_t node, std::uint64_t incarnation);
   void ScheduleTick(std::size_t node);
   void Brief();
-  // Whether the engine would begin a request now.
+  // Whether the engine would start a request now.
   bool TakesRequests(const Node& node) const;
   void Serve();
   void Receive(std::size_t node, std::uint64_t incarnation, const Mesh::Sender& from,
@@ -151,10 +155,10 @@
   void Do(std::size_t node, const Sidecar::CancelOriginFetch& cancel);
   void Do(std::size_t node, const Sidecar::Tell& tell);
   std::unique_ptr<QueueLink> MakeLink();
-  // Sends bytes over both links; `done` runs when the last one is there.
+  // Sends bytes over both links; `done` runs when the last byte has arrived.
   void Transfer(std::uint64_t connection, QueueLink& from, QueueLink& to, std::size_t bytes,
                 std::function<void()> done);
-  // Sends on what the connection's window has room for.
+  // Sends the packets for which the connection's window has capacity.
   void Advance(std::uint64_t connection);
   Common::Bytes PieceOf(std::uint64_t version, std::uint32_t piece) const;
   Common::Bytes ManifestOf(std::uint64_t version) const;
@@ -170,7 +174,7 @@
   std::map<std::uint64_t, Connection> m_connections;
   std::uint64_t m_next_connection = FIRST_OF_ORIGIN;
   std::unique_ptr<QueueLink> m_origin;
-  // Of the gateways.
+  // The link of the gateways.
   std::unique_ptr<QueueLink> m_gateway;
   double m_spoilt_share = 0;
   bool m_is_origin_down = false;
--- a/Source/UnitTests/Core/Sidecar/SidecarWorldFixture.h
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorldFixture.h
@@ -5,13 +5,14 @@
 
 #include "Core/Sidecar/SidecarWorld.h"
 
-// What tests of pushes on the sidecars' world have in common.
+// Helpers shared by the tests that push weights through the sidecars' world.
 namespace Holdpost::Testing
 {
 using Common::Milliseconds;
 
 inline constexpr Milliseconds BOUND = Milliseconds(8000);
-// What the link alone needs for one copy: 96 x 24,576 bytes at 912,500 bytes a second.
+// The time in seconds that the link alone needs for one copy: 96 x 24,576 bytes at 912,500 bytes a
+// second.
 inline constexpr double LINK_SECONDS = 2.59;
 
 inline double SecondsUntilLoaded(SidecarWorld& world, std::uint64_t version,
@@ -22,13 +23,15 @@
   return std::chrono::duration<double>(world.Now() - begin).count();
 }
 
-// Runs until the sidecars have found what they hold.
+// A world whose sidecars have not run yet: tests first run it until the sidecars have found the
+// pieces that they hold.
 inline SidecarWorld MakeWorld(const WorldOptions& options = {})
 {
   return SidecarWorld(options);
 }
 
-// Names version 2 once the sidecars have found what they hold, and version 3 after the gap.
+// Names version 2 once the sidecars have found the pieces that they hold, and version 3 after the
+// gap.
 inline void NameTwo(SidecarWorld& world, Common::Duration gap)
 {
   world.RunFor(Milliseconds(3000));
--- a/Source/UnitTests/Core/Sidecar/StageTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/StageTest.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint32_t PIECES = 4;
 constexpr std::uint32_t PIECE_BYTES = 1024;
 
-// A swarm that holds a whole version.
+// A swarm that holds all pieces of a version.
 struct Weights
 {
   Weights()
@@ -55,7 +55,7 @@
   std::unique_ptr<Distribution::Swarm> swarm;
 };
 
-// Carries out what the keeper asks of an engine whose stage is a map.
+// Executes the keeper's calls on an engine whose stage is a map.
 void Serve(StageKeeper& keeper, const Weights& weights, std::map<std::uint32_t, Bytes>& stage)
 {
   for (int turn = 0; turn < 100; ++turn)
@@ -84,7 +84,7 @@
 }
 } // namespace
 
-TEST_CASE("The stage is filled and proved by reading it back")
+TEST_CASE("The stage is filled and verified by reading it back")
 {
   const Weights weights;
   StageKeeper keeper;
@@ -94,7 +94,8 @@
   CHECK(keeper.IsStaged());
   CHECK(keeper.ProvenSince().has_value());
 
-  SUBCASE("what turned bad is found by proving again, and staged anew")
+  SUBCASE("a piece that is corrupted on the stage is detected by the next verification and staged "
+          "again")
   {
     stage[2] = Common::MakeBytes("spoilt");
     keeper.ProveAgain();
@@ -103,7 +104,7 @@
     CHECK(keeper.ProvenSince().has_value());
     CHECK(*stage[2] == *weights.pieces[2]);
   }
-  SUBCASE("another version starts from nothing")
+  SUBCASE("another version starts from nothing: no piece of it is staged")
   {
     keeper.Want("m", 3, PIECES);
     CHECK_FALSE(keeper.IsStaged());
@@ -111,7 +112,7 @@
   }
 }
 
-TEST_CASE("What lay on the stage already is not staged again, but proved")
+TEST_CASE("Pieces that are already on the stage are not staged again, but verified")
 {
   const Weights weights;
   StageKeeper keeper;
@@ -124,7 +125,7 @@
   CHECK_FALSE(Take<ReadStaged>(actions).empty());
 }
 
-TEST_CASE("A piece that the engine did not take is staged again after a pause")
+TEST_CASE("A piece that the engine did not accept is staged again after a pause")
 {
   const Weights weights;
   StageKeeper keeper;
@@ -140,7 +141,7 @@
   CHECK(Take<StagePiece>(actions).at(0).piece == first[0].piece);
 }
 
-TEST_CASE("An engine is ordered once for a version")
+TEST_CASE("An engine gets one load order for each version")
 {
   WeightsLoader loader;
   EngineReport report;
@@ -156,7 +157,7 @@
   CHECK(order->expected_orders == 4);
   CHECK_FALSE(loader.OnTick(START + Milliseconds(80)).has_value());
 
-  SUBCASE("taken: it waits until the engine has the version")
+  SUBCASE("accepted: the loader waits until the engine has the version")
   {
     loader.OnAnswered({2, std::monostate()}, START);
     report.is_busy = true;
@@ -169,7 +170,7 @@
     loader.OnReport(report, START);
     CHECK_FALSE(loader.IsUnderWay());
   }
-  SUBCASE("without an answer, the report decides: it was taken")
+  SUBCASE("without an answer: the next report shows that the order was accepted")
   {
     loader.OnAnswered({2, Error{ErrorKind::Unreachable, ""}}, START);
     CHECK(loader.IsUnderWay());
@@ -178,7 +179,7 @@
     loader.OnReport(report, START);
     CHECK(loader.State() == LoaderState::Loading);
   }
-  SUBCASE("without an answer, the report decides: it was not")
+  SUBCASE("without an answer: the next report shows that the order was not accepted")
   {
     loader.OnAnswered({2, Error{ErrorKind::Unreachable, ""}}, START);
     loader.OnReport(report, START);
@@ -188,12 +189,12 @@
     loader.Begin("m", 2, START + Milliseconds(200));
     CHECK(loader.IsUnderWay());
   }
-  SUBCASE("refused: it may be tried again later")
+  SUBCASE("refused: the order may be sent again later")
   {
     loader.OnAnswered({2, Error{ErrorKind::Conflict, ""}}, START);
     CHECK_FALSE(loader.IsUnderWay());
   }
-  SUBCASE("an engine that started anew has forgotten it")
+  SUBCASE("a restarted engine has forgotten the order")
   {
     loader.OnAnswered({2, std::monostate()}, START);
     report.orders = 0;
@@ -203,7 +204,7 @@
   }
 }
 
-TEST_CASE("Targets switch one after the other, and all in time")
+TEST_CASE("Targets switch one after the other, and all before the switch deadline")
 {
   std::vector<Mesh::Peer> peers;
   peers.reserve(20);
@@ -220,7 +221,7 @@
     CHECK(at <= START + Milliseconds(7000));
   }
   CHECK(PlannedSwitch(window, 5, 20) < PlannedSwitch(window, 6, 20));
-  // Another version gives another order, so that nobody is always the last.
+  // Another version results in another order, so that no target is always the last.
   bool differs = false;
   for (const Mesh::Peer& peer : peers)
     differs = differs || SwitchRank(peer.address, peers, 7) != SwitchRank(peer.address, peers, 8);
