--- a/Source/Core/Sidecar/Sidecar.cpp
+++ b/Source/Core/Sidecar/Sidecar.cpp
@@ -22,43 +22,43 @@
 using Common::TimePoint;
 using Common::Weight;
 
-static constexpr Milliseconds REPORT_PERIOD = Milliseconds(100);
+static constexpr Milliseconds ENGINE_REPORT_PERIOD = Milliseconds(100);
 // A shorter period while weights are being loaded, so that the end of the load is noticed soon.
-static constexpr Milliseconds REPORT_PERIOD_LOADING = Milliseconds(25);
-static constexpr Milliseconds PEERS_PERIOD = Milliseconds(1000);
-static constexpr Milliseconds PATIENCE = Milliseconds(500);
-static constexpr Milliseconds STALL = Milliseconds(900);
+static constexpr Milliseconds ENGINE_REPORT_PERIOD_LOADING = Milliseconds(25);
+static constexpr Milliseconds PEER_UPDATE_PERIOD = Milliseconds(1000);
+static constexpr Milliseconds TAKEOVER_DELAY = Milliseconds(500);
+static constexpr Milliseconds STALL_TIMEOUT = Milliseconds(900);
 // The maximum backoff after a failed fetch from the origin. It is short because only a few sidecars
 // fetch from the origin, and all of them wait for it after a failure.
-static constexpr Milliseconds ORIGIN_PAUSE_MOST = Milliseconds(100);
+static constexpr Milliseconds MAX_ORIGIN_BACKOFF = Milliseconds(100);
 // The number of members of the hall with which a sidecar exchanges pieces. A piece enters a hall at
 // one member; if more neighbours request the piece from that member at once, most requests are
 // refused and the links of these neighbours are idle.
-static constexpr std::size_t NEIGHBOURS = 8;
+static constexpr std::size_t MAX_NEIGHBOURS = 8;
 // The number of pieces that are transferred over the link at once in each direction. Requests to
 // the target and its answers queue behind all of them.
-static constexpr std::uint32_t PIECES_AT_ONCE = 3;
+static constexpr std::uint32_t MAX_CONCURRENT_PIECES = 3;
 // The same limit while a copy is needed soon.
-static constexpr std::uint32_t PIECES_AT_ONCE_IN_HASTE = 6;
+static constexpr std::uint32_t MAX_CONCURRENT_PIECES_URGENT = 6;
 // The same limit for a copy that this sidecar only keeps for its peers.
-static constexpr std::uint32_t PIECES_AT_ONCE_FOR_OTHERS = 1;
+static constexpr std::uint32_t MAX_CONCURRENT_PIECES_FOR_PEERS = 1;
 // The maximum number of uploads that wait for the link. A peer whose request would exceed it is
 // refused and asks another peer.
-static constexpr std::size_t UPLOADS_WAITING = 1;
-static constexpr std::size_t UPLOADS_WAITING_IN_HASTE = 3;
+static constexpr std::size_t MAX_QUEUED_UPLOADS = 1;
+static constexpr std::size_t MAX_QUEUED_UPLOADS_URGENT = 3;
 // The maximum number of piece requests of peers that the sidecar remembers. A request is remembered
 // until the peer confirms that it has the piece.
-static constexpr std::size_t ASKED_MOST = 256;
-static constexpr Milliseconds PIECE_TIME_LEAST = Milliseconds(5);
-static constexpr Milliseconds ORIGIN_PIECE_TIME_LEAST = Milliseconds(2);
+static constexpr std::size_t MAX_PIECE_REQUESTS = 256;
+static constexpr Milliseconds MIN_PIECE_TIME = Milliseconds(5);
+static constexpr Milliseconds MIN_ORIGIN_PIECE_TIME = Milliseconds(2);
 // The minimum number of pieces that a member downloads from other members at once while the hall
 // lacks pieces. With more downloads on its link, the piece that the member fetches from the origin
 // takes as long as all of these, and the origin's link is idle. The larger the hall, the less often
 // a member fetches from the origin.
-static constexpr std::uint32_t DOWNLOADS_WHILE_LACKING_LEAST = 3;
-static constexpr std::uint32_t MEMBERS_FOR_EACH_DOWNLOAD = 3;
-static constexpr Milliseconds CLAIM_LEAST = Milliseconds(300);
-static constexpr Milliseconds CLAIM_MOST = Milliseconds(5000);
+static constexpr std::uint32_t MIN_DOWNLOADS_WHILE_INCOMPLETE = 3;
+static constexpr std::uint32_t MEMBERS_PER_DOWNLOAD = 3;
+static constexpr Milliseconds MIN_CLAIM_LIFETIME = Milliseconds(300);
+static constexpr Milliseconds MAX_CLAIM_LIFETIME = Milliseconds(5000);
 
 Digest Sidecar::VersionDigest(const std::string& model, std::uint64_t version)
 {
@@ -79,19 +79,20 @@
   Distribution::ExchangeOptions options;
   options.link_bytes_per_second = m_options.link_bytes_per_second;
   options.link_pacing = Distribution::LinkPacing::Wire;
-  options.neighbours = NEIGHBOURS;
-  options.swarm.patience = PATIENCE;
-  options.swarm.stall = STALL;
-  options.swarm.backoff_most = ORIGIN_PAUSE_MOST;
-  const bool is_in_haste = m_urgency == Urgency::Haste;
-  options.upload_queue_most = is_in_haste ? UPLOADS_WAITING_IN_HASTE : UPLOADS_WAITING;
-  options.uploads_unconfirmed_most = is_in_haste ? PIECES_AT_ONCE_IN_HASTE : PIECES_AT_ONCE;
-  options.swarm.fetches_pieces = m_urgency != Urgency::FindsStaged;
+  options.neighbours = MAX_NEIGHBOURS;
+  options.swarm.patience = TAKEOVER_DELAY;
+  options.swarm.stall = STALL_TIMEOUT;
+  options.swarm.backoff_most = MAX_ORIGIN_BACKOFF;
+  const bool is_urgent = m_urgency == Urgency::Urgent;
+  options.upload_queue_most = is_urgent ? MAX_QUEUED_UPLOADS_URGENT : MAX_QUEUED_UPLOADS;
+  options.uploads_unconfirmed_most =
+      is_urgent ? MAX_CONCURRENT_PIECES_URGENT : MAX_CONCURRENT_PIECES;
+  options.swarm.fetches_pieces = m_urgency != Urgency::ChecksStage;
   options.swarm.adapts_window = true;
-  options.swarm.window_in_all = PiecesAtOnce();
+  options.swarm.window_in_all = MaxConcurrentPieces();
   options.swarm.piece_time = PieceTime();
   options.swarm.origin_piece_time = OriginPieceTime();
-  options.swarm.window_while_lacking = DownloadsWhileLacking();
+  options.swarm.window_while_lacking = MaxDownloadsWhileIncomplete();
   options.swarm.is_named_by_content = false;
   options.swarm.has_weight_store = false;
   options.swarm.shares_crossings = true;
@@ -100,28 +101,28 @@
   return options;
 }
 
-std::uint32_t Sidecar::PiecesAtOnce() const
+std::uint32_t Sidecar::MaxConcurrentPieces() const
 {
   switch (m_urgency)
   {
-  case Urgency::FindsStaged:
-  case Urgency::ForOthers:
-    return PIECES_AT_ONCE_FOR_OTHERS;
-  case Urgency::Usual:
-    return PIECES_AT_ONCE;
-  case Urgency::Haste:
+  case Urgency::ChecksStage:
+  case Urgency::ForPeers:
+    return MAX_CONCURRENT_PIECES_FOR_PEERS;
+  case Urgency::Normal:
+    return MAX_CONCURRENT_PIECES;
+  case Urgency::Urgent:
     break;
   }
-  return PIECES_AT_ONCE_IN_HASTE;
+  return MAX_CONCURRENT_PIECES_URGENT;
 }
 
 Duration Sidecar::PieceTime() const
 {
   if (m_options.link_bytes_per_second == 0)
-    return PIECE_TIME_LEAST;
+    return MIN_PIECE_TIME;
   const std::chrono::duration<double> time(m_plan.piece_bytes /
                                            static_cast<double>(m_options.link_bytes_per_second));
-  return std::max<Duration>(std::chrono::duration_cast<Duration>(time), PIECE_TIME_LEAST);
+  return std::max<Duration>(std::chrono::duration_cast<Duration>(time), MIN_PIECE_TIME);
 }
 
 Duration Sidecar::OriginPieceTime() const
@@ -130,14 +131,14 @@
   if (rate == 0)
     return PieceTime();
   const std::chrono::duration<double> time(m_plan.piece_bytes / static_cast<double>(rate));
-  return std::max<Duration>(std::chrono::duration_cast<Duration>(time), ORIGIN_PIECE_TIME_LEAST);
+  return std::max<Duration>(std::chrono::duration_cast<Duration>(time), MIN_ORIGIN_PIECE_TIME);
 }
 
-std::uint32_t Sidecar::DownloadsWhileLacking() const
+std::uint32_t Sidecar::MaxDownloadsWhileIncomplete() const
 {
   const auto members = std::ranges::count(m_peers, m_options.hall, &Mesh::Peer::hall);
-  return std::max(DOWNLOADS_WHILE_LACKING_LEAST,
-                  static_cast<std::uint32_t>(members) / MEMBERS_FOR_EACH_DOWNLOAD);
+  return std::max(MIN_DOWNLOADS_WHILE_INCOMPLETE,
+                  static_cast<std::uint32_t>(members) / MEMBERS_PER_DOWNLOAD);
 }
 
 // All members of the hall may fetch a piece over the origin's one link at the same time, so a piece
@@ -145,9 +146,10 @@
 // twice.
 Duration Sidecar::ClaimLifetime() const
 {
-  static constexpr int MORE_TIMES = 8;
+  static constexpr int EXTRA_PIECE_TIMES = 8;
   const auto members = std::ranges::count(m_peers, m_options.hall, &Mesh::Peer::hall);
-  return std::clamp<Duration>((2 * members + MORE_TIMES) * PieceTime(), CLAIM_LEAST, CLAIM_MOST);
+  return std::clamp<Duration>((2 * members + EXTRA_PIECE_TIMES) * PieceTime(), MIN_CLAIM_LIFETIME,
+                              MAX_CLAIM_LIFETIME);
 }
 
 const Distribution::Swarm* Sidecar::WantedSwarm() const
@@ -166,45 +168,48 @@
 void Sidecar::OnMessage(const Mesh::Sender& from, const Mesh::Message& message, TimePoint now,
                         Actions* actions)
 {
-  Distribution::Actions made;
+  Distribution::Actions new_actions;
   std::visit(
       Common::Overloaded{
           [&](const Mesh::Hello& hello) { OnHello(from, hello, now, actions); },
-          [&](const Mesh::TellWork& tell) { OnWork(from, tell.work, now, actions); },
-          [&](const Mesh::TellGateways& tell) { AskForBriefing(tell.gateways, actions); },
+          [&](const Mesh::TellWork& received)
+          { OnWorkAnnounced(from, received.work, now, actions); },
+          [&](const Mesh::TellGateways& received) { RequestBriefings(received.gateways, actions); },
           [&](const Mesh::Announce& announce) {
-            m_exchange.OnAnnouncement(from.address.ToString(), announce.announcement, now, &made);
+            m_exchange.OnAnnouncement(from.address.ToString(), announce.announcement, now,
+                                      &new_actions);
           },
-          [&](const Mesh::AskPiece& ask)
+          [&](const Mesh::AskPiece& request)
           {
             const std::uint64_t tag = m_next_tag++;
-            m_asked[tag] = {from.address, ask.id};
-            if (m_asked.size() > ASKED_MOST)
-              m_asked.erase(m_asked.begin());
+            m_piece_requests[tag] = {from.address, request.id};
+            if (m_piece_requests.size() > MAX_PIECE_REQUESTS)
+              m_piece_requests.erase(m_piece_requests.begin());
             const bool is_for_other_hall = from.hall != m_options.hall;
-            m_exchange.OnPieceRequest(tag, ask.version, ask.piece, is_for_other_hall, now, &made);
+            m_exchange.OnPieceRequest(tag, request.version, request.piece, is_for_other_hall, now,
+                                      &new_actions);
           },
           [&](const Mesh::CancelPiece& cancel)
           {
-            const auto asked = std::ranges::find_if(
-                m_asked, [&](const auto& entry)
+            const auto found_request = std::ranges::find_if(
+                m_piece_requests, [&](const auto& entry)
                 { return entry.second.from == from.address && entry.second.id == cancel.id; });
-            if (asked == m_asked.end())
+            if (found_request == m_piece_requests.end())
               return;
-            const Distribution::RequestTag tag = asked->first;
-            m_asked.erase(asked);
-            m_exchange.OnRequestAbandoned(tag, now, &made);
+            const Distribution::RequestTag tag = found_request->first;
+            m_piece_requests.erase(found_request);
+            m_exchange.OnRequestAbandoned(tag, now, &new_actions);
           },
-          [&](const Mesh::TellPiece& tell)
+          [&](const Mesh::TellPiece& received)
           {
             // The cancellation also confirms that this sidecar has received the piece.
-            if (const auto peer = m_at_peers.extract(tell.id))
-              actions->push_back(Tell{peer.mapped(), Mesh::CancelPiece{tell.id}, false});
-            m_exchange.OnFetched(tell.id, tell.result, now, &made);
+            if (const auto peer = m_peer_fetches.extract(received.id))
+              actions->push_back(Tell{peer.mapped(), Mesh::CancelPiece{received.id}, false});
+            m_exchange.OnFetched(received.id, received.result, now, &new_actions);
           },
           [](const auto&) {}},
       message);
-  Translate(std::move(made), now, actions);
+  Translate(std::move(new_actions), now, actions);
 }
 
 void Sidecar::OnPlan(const Mesh::WeightsPlan& plan, TimePoint now)
@@ -240,14 +245,14 @@
 
 void Sidecar::OnPeerBroken(const Address& peer, TimePoint now, Actions* actions)
 {
-  Distribution::Actions made;
-  m_exchange.OnPeerLost(peer.ToString(), now, &made);
-  Translate(std::move(made), now, actions);
+  Distribution::Actions new_actions;
+  m_exchange.OnPeerLost(peer.ToString(), now, &new_actions);
+  Translate(std::move(new_actions), now, actions);
 }
 
-void Sidecar::Translate(Distribution::Actions made, TimePoint now, Actions* actions)
+void Sidecar::Translate(Distribution::Actions new_actions, TimePoint now, Actions* actions)
 {
-  for (Distribution::Action& action : made)
+  for (Distribution::Action& action : new_actions)
   {
     std::visit(
         Common::Overloaded{
@@ -257,19 +262,19 @@
               {
                 actions->push_back(FetchFromOrigin{fetch.id, m_plan.origin, m_plan.model,
                                                    m_versions[fetch.version], fetch.piece});
-                m_at_origin.insert(fetch.id);
+                m_origin_fetches.insert(fetch.id);
                 return;
               }
               const auto address = Common::ParseAddress(fetch.peer);
-              m_at_peers[fetch.id] = *address;
+              m_peer_fetches[fetch.id] = *address;
               actions->push_back(
                   Tell{*address, Mesh::AskPiece{fetch.id, fetch.version, fetch.piece}, false});
             },
             [&](Distribution::CancelFetch& cancel)
             {
-              if (m_at_origin.erase(cancel.id) > 0)
+              if (m_origin_fetches.erase(cancel.id) > 0)
                 actions->push_back(CancelOriginFetch{cancel.id});
-              else if (const auto peer = m_at_peers.extract(cancel.id))
+              else if (const auto peer = m_peer_fetches.extract(cancel.id))
                 actions->push_back(Tell{peer.mapped(), Mesh::CancelPiece{cancel.id}, false});
             },
             [&](Distribution::SendAnnouncement& send)
@@ -280,15 +285,15 @@
             },
             [&](Distribution::AnswerPiece& answer)
             {
-              const auto asked = m_asked.find(answer.tag);
-              if (asked == m_asked.end())
+              const auto found_request = m_piece_requests.find(answer.tag);
+              if (found_request == m_piece_requests.end())
                 return;
               const bool is_refused = !Common::Succeeded(answer.result);
-              actions->push_back(Tell{asked->second.from,
-                                      Mesh::TellPiece{asked->second.id, std::move(answer.result)},
-                                      false});
+              actions->push_back(
+                  Tell{found_request->second.from,
+                       Mesh::TellPiece{found_request->second.id, std::move(answer.result)}, false});
               if (is_refused)
-                m_asked.erase(asked);
+                m_piece_requests.erase(found_request);
             },
             [](Distribution::PieceHeld&) {},
             [&](Distribution::VersionHeld& held) { LogHeld(m_versions[held.version], now); },
@@ -308,41 +313,42 @@
 
 void Sidecar::OnTick(TimePoint now, Actions* actions)
 {
-  if (!m_began)
-    m_began = now;
+  if (!m_started_at)
+    m_started_at = now;
   if (!m_is_reading_report && now >= m_report_due)
   {
     m_is_reading_report = true;
-    m_report_due = now + (m_loader.IsUnderWay() ? REPORT_PERIOD_LOADING : REPORT_PERIOD);
+    m_report_due =
+        now + (m_loader.IsUnderWay() ? ENGINE_REPORT_PERIOD_LOADING : ENGINE_REPORT_PERIOD);
     actions->push_back(ReadReport{});
   }
-  if (m_tell_due && now >= *m_tell_due)
-    TellLoad(now, actions);
+  if (m_load_due && now >= *m_load_due)
+    SendLoadReports(now, actions);
   TickIdentity(now, actions);
   SearchGateways(now, actions);
   if (now >= m_peers_due)
-    TellExchangeOfPeers(now, actions);
+    UpdateExchangePeers(now, actions);
   if (const Urgency urgency = UrgencyAt(now); urgency != m_urgency)
   {
     m_urgency = urgency;
     m_exchange.SetOptions(MakeExchangeOptions());
   }
-  Distribution::Actions made;
-  m_exchange.OnTick(now, &made);
-  Translate(std::move(made), now, actions);
+  Distribution::Actions new_actions;
+  m_exchange.OnTick(now, &new_actions);
+  Translate(std::move(new_actions), now, actions);
   TickStage(now, actions);
   TickLoader(now, actions);
   LogProgress(now);
 }
 
-void Sidecar::TellExchangeOfPeers(TimePoint now, Actions* actions)
+void Sidecar::UpdateExchangePeers(TimePoint now, Actions* actions)
 {
   if (m_wanted > 0 && m_is_view_confirmed)
   {
-    m_peers_due = now + PEERS_PERIOD;
-    Distribution::Actions made;
+    m_peers_due = now + PEER_UPDATE_PERIOD;
+    Distribution::Actions new_actions;
     std::vector<Distribution::NeighbourCandidate> candidates;
-    for (const std::uint64_t version : std::set<std::uint64_t>{m_wanted, m_ahead})
+    for (const std::uint64_t version : std::set<std::uint64_t>{m_wanted, m_prefetched})
     {
       const Digest digest = VersionDigest(m_plan.model, version);
       for (const Mesh::Peer& peer : m_peers)
@@ -351,17 +357,17 @@
           candidates.push_back({peer.address.ToString(), peer.hall, digest});
       }
     }
-    m_exchange.SetCandidates(std::move(candidates), now, &made);
-    m_exchange.OnViewConfirmed(now, &made);
-    Translate(std::move(made), now, actions);
+    m_exchange.SetCandidates(std::move(candidates), now, &new_actions);
+    m_exchange.OnViewConfirmed(now, &new_actions);
+    Translate(std::move(new_actions), now, actions);
   }
 }
 
 TimePoint Sidecar::NextWakeup(TimePoint now) const
 {
-  TimePoint next = m_is_reading_report ? now + REPORT_PERIOD : m_report_due;
-  if (m_tell_due)
-    next = std::min(next, *m_tell_due);
+  TimePoint next = m_is_reading_report ? now + ENGINE_REPORT_PERIOD : m_report_due;
+  if (m_load_due)
+    next = std::min(next, *m_load_due);
   next = std::min(next, m_search.NextWakeup());
   if (const auto exchange = m_exchange.NextWakeup(now))
     next = std::min(next, *exchange);
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -108,7 +108,7 @@
   // never done so.
   const std::optional<Common::TimePoint>& ToldVersionsUntil() const
   {
-    return m_told_versions_until;
+    return m_versions_reported_until;
   }
 
   bool HasPlan() const { return !m_plan.model.empty(); }
@@ -127,8 +127,8 @@
     // The time of the last message of any kind from the gateway, and of the last hello, which
     // carried the clock.
     Common::TimePoint last_seen{};
-    Common::TimePoint greeted{};
-    Common::TimePoint told{};
+    Common::TimePoint last_hello{};
+    Common::TimePoint last_report{};
     // The gateway needs every load report.
     bool wants_load = false;
     Gateway::OwnDemand demand;
@@ -137,38 +137,38 @@
     // The work that the gateway has at the target.
     Gateway::OwnWork work;
     // When this sidecar last sent the gateway the list of the gateways in the hall.
-    Common::TimePoint listed{};
+    Common::TimePoint gateways_sent_at{};
   };
 
   void OnHello(const Mesh::Sender& from, const Mesh::Hello& hello, Common::TimePoint now,
                Actions* actions);
-  void OnWork(const Mesh::Sender& from, const Gateway::OwnWork& work, Common::TimePoint now,
-              Actions* actions);
+  void OnWorkAnnounced(const Mesh::Sender& from, const Gateway::OwnWork& work,
+                       Common::TimePoint now, Actions* actions);
   // Whether a gateway of the hall has sent a message within the given time.
-  bool SeesGateway(Common::Duration within, Common::TimePoint now) const;
+  bool HasSeenGateway(Common::Duration within, Common::TimePoint now) const;
   // Asks the seeds for gateways of the hall while no gateway of it is known.
   void SearchGateways(Common::TimePoint now, Actions* actions);
-  void AskForBriefing(const std::vector<Common::Address>& gateways, Actions* actions);
+  void RequestBriefings(const std::vector<Common::Address>& gateways, Actions* actions);
   // The work that all gateways together have at the target.
-  Gateway::OwnWork WorkOfAll(Common::TimePoint now) const;
+  Gateway::OwnWork TotalWork(Common::TimePoint now) const;
   // Adopts the plan and the peers of the hello unless they are older than the known ones.
-  void OnBriefed(const Mesh::Hello& hello, Common::TimePoint now, Actions* actions);
+  void OnBriefing(const Mesh::Hello& hello, Common::TimePoint now, Actions* actions);
   // Number of gateways in all halls, as the known gateways report it.
   std::uint32_t CountGateways() const;
   // The arrivals at the gateways that send requests to this target.
-  Gateway::GatewayDemand DemandOfAll() const;
+  Gateway::GatewayDemand TotalDemand() const;
   // The target's load from the engine's last report, updated with the work that gateways have
   // announced since then.
-  Gateway::TargetLoad LoadNow(Common::TimePoint now) const;
+  Gateway::TargetLoad CurrentLoad(Common::TimePoint now) const;
   bool IsDue(const KnownGateway& gateway, bool has_news, Common::TimePoint now) const;
   void ChooseVersion(Common::TimePoint now, Actions* actions);
-  void WantVersion(std::uint64_t version, Common::TimePoint now, Actions* actions);
-  void CopyAhead(std::uint64_t version, Common::TimePoint now, Actions* actions);
-  void TellExchangeOfPeers(Common::TimePoint now, Actions* actions);
+  void SetWantedVersion(std::uint64_t version, Common::TimePoint now, Actions* actions);
+  void PrefetchVersion(std::uint64_t version, Common::TimePoint now, Actions* actions);
+  void UpdateExchangePeers(Common::TimePoint now, Actions* actions);
   void FetchVersion(std::uint64_t version, Common::TimePoint now, Actions* actions);
   // Whether the sidecar need not fetch anything yet, because the engine has the newest version or
   // may have it.
-  bool MayWaitWithFetching(std::uint64_t newest, Common::TimePoint now) const;
+  bool MayDelayFetching(std::uint64_t newest, Common::TimePoint now) const;
   // Whether the sidecar should copy a newer version instead of the wanted one.
   bool MayReplaceWanted(Common::TimePoint now) const;
   // Whether the hall holds so many pieces of the wanted version that the remaining ones will soon
@@ -177,34 +177,34 @@
   // Whether the version that was copied ahead is complete before the engine has loaded the wanted
   // one: the wanted version is then skipped, and the target is out of service for one switch
   // instead of two.
-  bool MayJumpAhead(Common::TimePoint now) const;
+  bool MaySkipToPrefetched(Common::TimePoint now) const;
   // The earliest switch deadline of the named versions up to `newest` that the engine has not
   // loaded.
-  Common::TimePoint EarliestBound(std::uint64_t newest) const;
+  Common::TimePoint EarliestSwitchDeadline(std::uint64_t newest) const;
   Common::Duration CopyTime() const;
   // How urgently the sidecar needs the pieces of the wanted version.
   enum class Urgency
   {
     // The engine has the version, and its pieces may be on the stage: the sidecar fetches nothing
     // yet.
-    FindsStaged,
+    ChecksStage,
     // The engine has the version: the sidecar keeps the pieces for its peers.
-    ForOthers,
-    Usual,
+    ForPeers,
+    Normal,
     // The pieces are needed so soon that requests may wait for them.
-    Haste,
+    Urgent,
   };
   Urgency UrgencyAt(Common::TimePoint now) const;
-  std::uint32_t PiecesAtOnce() const;
+  std::uint32_t MaxConcurrentPieces() const;
   // The transfer time of one piece over the local link at its current rate, and the times that
   // follow from it for a whole copy and for the missing pieces of a copy.
-  Common::Duration PieceTimeNow(Common::TimePoint now) const;
-  Common::Duration WholeCopyTime(Common::TimePoint now) const;
-  Common::Duration TimeToHold(const Distribution::Swarm* swarm, Common::TimePoint now) const;
+  Common::Duration CurrentPieceTime(Common::TimePoint now) const;
+  Common::Duration CurrentCopyTime(Common::TimePoint now) const;
+  Common::Duration RemainingCopyTime(const Distribution::Swarm* swarm, Common::TimePoint now) const;
   // The time at which the engine should load the wanted version; empty if the engine has it.
   std::optional<Common::TimePoint> SwitchAt(Common::TimePoint now) const;
   // The origin is a dependency: the sidecar logs each time that the origin is lost or regained.
-  void NoteOrigin(const Common::Result<Common::Bytes>& result, Common::TimePoint now);
+  void UpdateOriginState(const Common::Result<Common::Bytes>& result, Common::TimePoint now);
   // Reads the id under which the engine is listed, once for each start of the engine.
   void TickIdentity(Common::TimePoint now, Actions* actions);
   void OnEngineRestarted();
@@ -214,15 +214,15 @@
   // Logs the totals of all transfers since the start, so that the difference between two lines
   // shows the transfers of one push.
   void LogHeld(std::uint64_t version, Common::TimePoint now) const;
-  void TellLoad(Common::TimePoint now, Actions* actions);
-  std::vector<Common::Address> NearGateways() const;
-  void Translate(Distribution::Actions made, Common::TimePoint now, Actions* actions);
+  void SendLoadReports(Common::TimePoint now, Actions* actions);
+  std::vector<Common::Address> GatewaysOfLocalHall() const;
+  void Translate(Distribution::Actions new_actions, Common::TimePoint now, Actions* actions);
   // The digest by which swarms identify a version.
   static Common::Digest VersionDigest(const std::string& model, std::uint64_t version);
   const Distribution::Swarm* WantedSwarm() const;
   Distribution::ExchangeOptions MakeExchangeOptions() const;
   Common::Duration PieceTime() const;
-  std::uint32_t DownloadsWhileLacking() const;
+  std::uint32_t MaxDownloadsWhileIncomplete() const;
   // The transfer time of a piece over the origin's link.
   Common::Duration OriginPieceTime() const;
   Common::Duration ClaimLifetime() const;
@@ -230,31 +230,31 @@
   SidecarOptions m_options;
   Common::Metrics& m_metrics;
   Distribution::Exchange m_exchange;
-  StageKeeper m_stage;
+  StageManager m_stage;
   WeightsLoader m_loader;
   Mesh::WeightsPlan m_plan;
   // The stamp of the plan and the peers that gateways have sent.
   Mesh::BriefingStamp m_stamp;
   // The named versions, and the time since which any process knows each.
   std::map<std::uint64_t, Control::KnownSince> m_named;
-  std::optional<Common::TimePoint> m_told_versions_until;
+  std::optional<Common::TimePoint> m_versions_reported_until;
   // The version that the engine should load next, a newer version that is copied in the meantime,
-  // and the version that was wanted before.
+  // and the last completely copied version that was wanted before.
   std::uint64_t m_wanted = 0;
-  std::uint64_t m_ahead = 0;
-  std::uint64_t m_before = 0;
-  Urgency m_urgency = Urgency::Usual;
+  std::uint64_t m_prefetched = 0;
+  std::uint64_t m_previous = 0;
+  Urgency m_urgency = Urgency::Normal;
   std::map<Common::Digest, std::uint64_t> m_versions;
   std::map<Common::Address, KnownGateway> m_gateways;
   Mesh::SeedSearch m_search;
   std::vector<Mesh::Peer> m_peers;
-  std::optional<Common::TimePoint> m_began;
+  std::optional<Common::TimePoint> m_started_at;
   std::optional<EngineReport> m_report;
   // Number of requests that gateways had announced when the engine's report was read.
   std::uint32_t m_requests_at_report = 0;
   // When newly announced work is reported to the gateways at the latest; empty if there is none.
-  std::optional<Common::TimePoint> m_tell_due;
-  Common::TimePoint m_told_at{};
+  std::optional<Common::TimePoint> m_load_due;
+  Common::TimePoint m_load_sent_at{};
   bool m_is_reading_report = false;
   std::uint32_t m_reports_failed = 0;
   // The id under which the engine is listed; empty until the engine has reported it.
@@ -271,18 +271,18 @@
   bool m_has_listed = false;
   bool m_is_listing = false;
   std::uint32_t m_found_in_flight = 0;
-  std::optional<Gateway::TargetLoad> m_told;
+  std::optional<Gateway::TargetLoad> m_sent_load;
   Common::TimePoint m_progress_due{};
   // Piece requests of peers, by the tag under which the exchange knows them.
-  struct Asked
+  struct PieceRequest
   {
     Common::Address from;
     std::uint64_t id = 0;
   };
-  std::map<Distribution::RequestTag, Asked> m_asked;
+  std::map<Distribution::RequestTag, PieceRequest> m_piece_requests;
   Distribution::RequestTag m_next_tag = 1;
-  std::set<Distribution::FetchId> m_at_origin;
+  std::set<Distribution::FetchId> m_origin_fetches;
   bool m_is_origin_lost = false;
-  std::map<Distribution::FetchId, Common::Address> m_at_peers;
+  std::map<Distribution::FetchId, Common::Address> m_peer_fetches;
 };
 } // namespace Holdpost::Sidecar
--- a/Source/Core/Sidecar/SidecarEngine.cpp
+++ b/Source/Core/Sidecar/SidecarEngine.cpp
@@ -16,15 +16,15 @@
 using Common::TimePoint;
 using Common::Weight;
 
-static constexpr std::uint32_t REPORTS_FAILED_MOST = 3;
+static constexpr std::uint32_t MAX_FAILED_REPORTS = 3;
 // An engine that is full does not report its id. After this number of reads the sidecar stops
 // asking, as the engine is in the target list by then.
-static constexpr std::uint32_t IDENTITY_READS_MOST = 4;
-static constexpr Milliseconds IDENTITY_PAUSE = Milliseconds(300);
+static constexpr std::uint32_t MAX_IDENTITY_READS = 4;
+static constexpr Milliseconds IDENTITY_RETRY_DELAY = Milliseconds(300);
 // The maximum number of pieces found on the stage that are read at once.
-static constexpr std::uint32_t FOUND_READS_MOST = 2;
+static constexpr std::uint32_t MAX_CONCURRENT_FOUND_READS = 2;
 // A verification that is older than this does not show what is on the stage now.
-static constexpr Milliseconds PROOF_LIFETIME = Milliseconds(2000);
+static constexpr Milliseconds VERIFICATION_LIFETIME = Milliseconds(2000);
 
 void Sidecar::Handle(const ReportRead& event, TimePoint now, Actions* actions)
 {
@@ -32,7 +32,7 @@
   const auto* report = std::get_if<EngineReport>(&event.result);
   if (!report)
   {
-    if (++m_reports_failed == REPORTS_FAILED_MOST)
+    if (++m_reports_failed == MAX_FAILED_REPORTS)
     {
       LogEvent(Weight::Important, now, "engine.lost", "reason",
                std::get<Error>(event.result).message);
@@ -41,7 +41,7 @@
     }
     return;
   }
-  if (m_reports_failed >= REPORTS_FAILED_MOST)
+  if (m_reports_failed >= MAX_FAILED_REPORTS)
     LogEvent(Weight::Important, now, "engine.regained", "weights", report->weights_version);
   m_reports_failed = 0;
   // While the engine loads weights, it may report that it has no weights at all.
@@ -55,16 +55,16 @@
     OnEngineRestarted();
   }
   m_report = *report;
-  m_requests_at_report = WorkOfAll(now).requests;
+  m_requests_at_report = TotalWork(now).requests;
   m_loader.OnReport(*report, now);
   ChooseVersion(now, actions);
-  TellLoad(now, actions);
+  SendLoadReports(now, actions);
 }
 
 void Sidecar::OnEngineRestarted()
 {
   m_loader.OnEngineLost();
-  m_stage.ProveAgain();
+  m_stage.VerifyAgain();
   m_target_id.clear();
   m_identity_reads = 0;
 }
@@ -72,11 +72,11 @@
 void Sidecar::TickIdentity(TimePoint now, Actions* actions)
 {
   const bool is_wanted = m_report && m_target_id.empty() && !m_plan.health_path.empty() &&
-                         m_identity_reads < IDENTITY_READS_MOST;
+                         m_identity_reads < MAX_IDENTITY_READS;
   if (!is_wanted || m_is_reading_identity || now < m_identity_due)
     return;
   m_is_reading_identity = true;
-  m_identity_due = now + IDENTITY_PAUSE;
+  m_identity_due = now + IDENTITY_RETRY_DELAY;
   ++m_identity_reads;
   actions->push_back(ReadIdentity{m_plan.health_path});
 }
@@ -89,7 +89,7 @@
   if (!id || m_identity_reads == 0)
     return;
   m_target_id = *id;
-  TellLoad(now, actions);
+  SendLoadReports(now, actions);
 }
 
 void Sidecar::Handle(const StagedListed& event, TimePoint /*now*/, Actions* /*actions*/)
@@ -110,9 +110,10 @@
     --m_found_in_flight;
     if (const auto* data = std::get_if<Common::Bytes>(&event.result))
     {
-      Distribution::Actions made;
-      m_exchange.OfferPiece(VersionDigest(m_plan.model, m_wanted), event.piece, *data, now, &made);
-      Translate(std::move(made), now, actions);
+      Distribution::Actions new_actions;
+      m_exchange.OfferPiece(VersionDigest(m_plan.model, m_wanted), event.piece, *data, now,
+                            &new_actions);
+      Translate(std::move(new_actions), now, actions);
       if (swarm && swarm->IsRight(event.piece, **data))
         m_stage.OnFound(event.piece);
     }
@@ -138,14 +139,14 @@
 
 void Sidecar::Handle(const OriginFetched& event, TimePoint now, Actions* actions)
 {
-  m_at_origin.erase(event.id);
-  NoteOrigin(event.result, now);
-  Distribution::Actions made;
-  m_exchange.OnFetched(event.id, event.result, now, &made);
-  Translate(std::move(made), now, actions);
+  m_origin_fetches.erase(event.id);
+  UpdateOriginState(event.result, now);
+  Distribution::Actions new_actions;
+  m_exchange.OnFetched(event.id, event.result, now, &new_actions);
+  Translate(std::move(new_actions), now, actions);
 }
 
-void Sidecar::NoteOrigin(const Common::Result<Common::Bytes>& result, TimePoint now)
+void Sidecar::UpdateOriginState(const Common::Result<Common::Bytes>& result, TimePoint now)
 {
   const auto* error = std::get_if<Error>(&result);
   const bool is_lost = error != nullptr;
@@ -172,7 +173,7 @@
     m_is_listing = true;
     actions->push_back(ListStaged{m_plan.model});
   }
-  while (!m_found_staged.empty() && m_found_in_flight < FOUND_READS_MOST)
+  while (!m_found_staged.empty() && m_found_in_flight < MAX_CONCURRENT_FOUND_READS)
   {
     ++m_found_in_flight;
     actions->push_back(ReadStaged{m_plan.model, m_found_staged.back()});
@@ -180,9 +181,9 @@
   }
   if (!m_has_listed || m_found_in_flight > 0)
     return;
-  StageActions made;
-  m_stage.OnTick(*swarm, now, &made);
-  for (StageAction& action : made)
+  StageActions new_actions;
+  m_stage.OnTick(*swarm, now, &new_actions);
+  for (StageAction& action : new_actions)
     std::visit([&](auto& typed) { actions->push_back(std::move(typed)); }, action);
 }
 
@@ -191,15 +192,15 @@
   if (m_wanted > 0 && m_report && !m_report->is_busy && LoadedVersion() < m_wanted &&
       !m_loader.IsUnderWay())
   {
-    const auto proven = m_stage.ProvenSince();
+    const auto verified_since = m_stage.VerifiedSince();
     const std::optional<TimePoint> switch_at = SwitchAt(now);
     const bool is_due = switch_at && now >= *switch_at;
-    if (proven && now - *proven > PROOF_LIFETIME && is_due)
-      m_stage.ProveAgain();
-    else if (proven && is_due)
+    if (verified_since && now - *verified_since > VERIFICATION_LIFETIME && is_due)
+      m_stage.VerifyAgain();
+    else if (verified_since && is_due)
       m_loader.Begin(m_plan.model, m_wanted, now);
     if (m_loader.IsUnderWay())
-      TellLoad(now, actions);
+      SendLoadReports(now, actions);
   }
   if (const auto start = m_loader.OnTick(now))
   {
--- a/Source/Core/Sidecar/SidecarGateways.cpp
+++ b/Source/Core/Sidecar/SidecarGateways.cpp
@@ -11,13 +11,13 @@
 using Common::TimePoint;
 
 // If no gateway of the hall sends a message for this time, the sidecar asks the platform.
-static constexpr Milliseconds ALONE_AFTER = Milliseconds(1500);
+static constexpr Milliseconds ISOLATION_TIMEOUT = Milliseconds(1500);
 // Gateways send a hello to the sidecars of their hall every 400 ms. If no gateway of the hall has
 // sent a message for this time, the sidecar searches for one.
-static constexpr Milliseconds SEARCH_AFTER = Milliseconds(900);
+static constexpr Milliseconds SEARCH_TIMEOUT = Milliseconds(900);
 // The number of gateways, of those that a seed names, that the sidecar asks for a briefing. It asks
 // more than one because a gateway may have just ended.
-static constexpr std::size_t BRIEFINGS_ASKED = 2;
+static constexpr std::size_t MAX_BRIEFING_REQUESTS = 2;
 
 void Sidecar::OnHello(const Mesh::Sender& from, const Mesh::Hello& hello, TimePoint now,
                       Actions* actions)
@@ -32,16 +32,16 @@
   gateway.demand = hello.demand;
   gateway.near_gateways = hello.near_gateways;
   gateway.last_seen = now;
-  gateway.greeted = now;
-  OnBriefed(hello, now, actions);
-  for (const Mesh::ToldWeights& told : hello.weights)
-    OnWeights(told.named, told.Since(now));
+  gateway.last_hello = now;
+  OnBriefing(hello, now, actions);
+  for (const Mesh::ToldWeights& reported : hello.weights)
+    OnWeights(reported.named, reported.Since(now));
   if (from.hall == m_options.hall && HasPlan())
-    m_told_versions_until = now;
+    m_versions_reported_until = now;
   ChooseVersion(now, actions);
 }
 
-void Sidecar::OnBriefed(const Mesh::Hello& hello, TimePoint now, Actions* actions)
+void Sidecar::OnBriefing(const Mesh::Hello& hello, TimePoint now, Actions* actions)
 {
   if (hello.plan.model.empty())
     return;
@@ -60,12 +60,12 @@
 bool Sidecar::IsAlone(TimePoint now) const
 {
   // After the sidecar starts, gateways have the same time to send their first message.
-  if (!m_began || now - *m_began < ALONE_AFTER)
+  if (!m_started_at || now - *m_started_at < ISOLATION_TIMEOUT)
     return false;
-  return !SeesGateway(ALONE_AFTER, now);
+  return !HasSeenGateway(ISOLATION_TIMEOUT, now);
 }
 
-bool Sidecar::SeesGateway(Common::Duration within, TimePoint now) const
+bool Sidecar::HasSeenGateway(Common::Duration within, TimePoint now) const
 {
   return std::ranges::any_of(
       m_gateways, [&](const auto& entry)
@@ -74,16 +74,16 @@
 
 void Sidecar::SearchGateways(TimePoint now, Actions* actions)
 {
-  for (const Address& seed : m_search.OnTick(HasPlan() && SeesGateway(SEARCH_AFTER, now), now))
+  for (const Address& seed : m_search.OnTick(HasPlan() && HasSeenGateway(SEARCH_TIMEOUT, now), now))
     actions->push_back(Tell{seed, Mesh::AskGateways{false}, true});
 }
 
-void Sidecar::AskForBriefing(const std::vector<Address>& gateways, Actions* actions)
+void Sidecar::RequestBriefings(const std::vector<Address>& gateways, Actions* actions)
 {
   // Other sidecars of the hall send such requests, too, so each sidecar starts at a different
   // position of the list.
   const std::size_t first = Common::StableHash(m_options.address.ToString());
-  for (std::size_t i = 0; i < std::min(gateways.size(), BRIEFINGS_ASKED); ++i)
+  for (std::size_t i = 0; i < std::min(gateways.size(), MAX_BRIEFING_REQUESTS); ++i)
   {
     const Address& gateway = gateways[(first + i) % gateways.size()];
     actions->push_back(Tell{gateway, Mesh::AskBriefing{}, true});
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -18,38 +18,38 @@
 using Common::TimePoint;
 using Common::Weight;
 
-static constexpr Milliseconds TELL_PERIOD = Milliseconds(100);
+static constexpr Milliseconds LOAD_REPORT_PERIOD = Milliseconds(100);
 // The same period for gateways that do not need every report: they learn of versions from it.
-static constexpr Milliseconds TELL_PERIOD_UNUSED = Milliseconds(1000);
+static constexpr Milliseconds SPARSE_LOAD_REPORT_PERIOD = Milliseconds(1000);
 // A sidecar reports new work at once, but leaves at least this time between two reports.
-static constexpr Milliseconds TELL_GAP = Milliseconds(10);
+static constexpr Milliseconds MIN_LOAD_REPORT_GAP = Milliseconds(10);
 // The work that a gateway announced no longer counts once the gateway has been silent for this
 // time.
 static constexpr Milliseconds WORK_LIFETIME = Milliseconds(1500);
 // The period at which a sidecar sends the gateways of its hall the list of these gateways.
-static constexpr Milliseconds LIST_PERIOD = Milliseconds(1000);
+static constexpr Milliseconds GATEWAY_LIST_PERIOD = Milliseconds(1000);
 // A sidecar reports a version to gateways if it has been known for no longer than this time.
-static constexpr Milliseconds TELL_VERSION_FOR = Milliseconds(20000);
+static constexpr Milliseconds MAX_REPORTED_VERSION_AGE = Milliseconds(20000);
 static constexpr Milliseconds GATEWAY_LIFETIME = Milliseconds(3000);
 // A sidecar announces a switch to gateways this time in advance.
 static constexpr Milliseconds SWITCH_HORIZON = Milliseconds(3000);
 static constexpr Milliseconds PROGRESS_PERIOD = Milliseconds(500);
 
-void Sidecar::OnWork(const Mesh::Sender& from, const Gateway::OwnWork& work, TimePoint now,
-                     Actions* actions)
+void Sidecar::OnWorkAnnounced(const Mesh::Sender& from, const Gateway::OwnWork& work, TimePoint now,
+                              Actions* actions)
 {
   KnownGateway& gateway = m_gateways[from.address];
   gateway.hall = from.hall;
   gateway.last_seen = now;
   const Gateway::OwnWork before = std::exchange(gateway.work, work);
-  if (work.requests <= before.requests || m_tell_due)
+  if (work.requests <= before.requests || m_load_due)
     return;
-  m_tell_due = std::max(now, m_told_at + TELL_GAP);
-  if (now >= *m_tell_due)
-    TellLoad(now, actions);
+  m_load_due = std::max(now, m_load_sent_at + MIN_LOAD_REPORT_GAP);
+  if (now >= *m_load_due)
+    SendLoadReports(now, actions);
 }
 
-Gateway::OwnWork Sidecar::WorkOfAll(TimePoint now) const
+Gateway::OwnWork Sidecar::TotalWork(TimePoint now) const
 {
   Gateway::OwnWork all;
   for (const auto& [address, gateway] : m_gateways)
@@ -69,9 +69,9 @@
   std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> halls;
   for (const auto& [address, gateway] : m_gateways)
   {
-    auto& [seen, told] = halls[gateway.hall];
+    auto& [seen, reported] = halls[gateway.hall];
     ++seen;
-    told = std::max(told, gateway.near_gateways);
+    reported = std::max(reported, gateway.near_gateways);
   }
   std::uint32_t count = 0;
   for (const auto& [hall, counts] : halls)
@@ -79,7 +79,7 @@
   return count;
 }
 
-Gateway::GatewayDemand Sidecar::DemandOfAll() const
+Gateway::GatewayDemand Sidecar::TotalDemand() const
 {
   Gateway::GatewayDemand all;
   double refused = 0;
@@ -96,7 +96,7 @@
   return all;
 }
 
-Gateway::TargetLoad Sidecar::LoadNow(TimePoint now) const
+Gateway::TargetLoad Sidecar::CurrentLoad(TimePoint now) const
 {
   Gateway::TargetLoad load;
   load.address = m_options.target;
@@ -105,12 +105,12 @@
   load.next_version = m_loader.IsUnderWay() ? m_loader.Version() : 0;
   if (m_report)
   {
-    const Gateway::OwnWork work = WorkOfAll(now);
-    const std::uint32_t came = work.requests - std::min(work.requests, m_requests_at_report);
+    const Gateway::OwnWork work = TotalWork(now);
+    const std::uint32_t announced = work.requests - std::min(work.requests, m_requests_at_report);
     const std::uint32_t ended =
         m_requests_at_report - std::min(work.requests, m_requests_at_report);
     load.running = m_report->running - std::min(m_report->running, ended);
-    load.queued = m_report->queued + came;
+    load.queued = m_report->queued + announced;
     load.unread_prompt_tokens = work.unread_prompt_tokens;
     load.weights_version = m_report->weights_version;
     load.incarnation = m_report->incarnation;
@@ -123,7 +123,7 @@
     if (left < SWITCH_HORIZON)
       load.switch_in = std::max(left, Milliseconds(0));
   }
-  load.demand = DemandOfAll();
+  load.demand = TotalDemand();
   load.inbound_delay = std::chrono::duration_cast<Milliseconds>(m_exchange.InboundDelay(now));
   return load;
 }
@@ -135,17 +135,18 @@
   // A report goes out up to 20 ms before its period is over: otherwise it would have to wait for
   // the next opportunity, a whole period later.
   const Duration period =
-      (gateway.wants_load ? TELL_PERIOD : TELL_PERIOD_UNUSED) - Milliseconds(20);
-  return now - gateway.told >= period || (gateway.wants_load && m_tell_due);
+      (gateway.wants_load ? LOAD_REPORT_PERIOD : SPARSE_LOAD_REPORT_PERIOD) - Milliseconds(20);
+  return now - gateway.last_report >= period || (gateway.wants_load && m_load_due);
 }
 
-void Sidecar::TellLoad(TimePoint now, Actions* actions)
+void Sidecar::SendLoadReports(TimePoint now, Actions* actions)
 {
-  const Gateway::TargetLoad load = LoadNow(now);
-  const bool has_news = !m_told || m_told->is_switching != load.is_switching ||
-                        m_told->weights_version != load.weights_version || m_told->id != load.id;
-  m_told = load;
-  m_told_at = now;
+  const Gateway::TargetLoad load = CurrentLoad(now);
+  const bool has_news = !m_sent_load || m_sent_load->is_switching != load.is_switching ||
+                        m_sent_load->weights_version != load.weights_version ||
+                        m_sent_load->id != load.id;
+  m_sent_load = load;
+  m_load_sent_at = now;
   std::erase_if(m_gateways, [now](const auto& entry)
                 { return now - entry.second.last_seen > GATEWAY_LIFETIME; });
   Mesh::LoadReport report;
@@ -154,10 +155,10 @@
   report.stamp = m_stamp;
   for (auto named = m_named.rbegin(); named != m_named.rend(); ++named)
   {
-    const auto told = Mesh::ToldWeights::Of(m_plan.model, named->first, named->second, now);
-    if (report.weights.size() == Mesh::VERSIONS_TOLD || told.known > TELL_VERSION_FOR)
+    const auto reported = Mesh::ToldWeights::Of(m_plan.model, named->first, named->second, now);
+    if (report.weights.size() == Mesh::VERSIONS_TOLD || reported.known > MAX_REPORTED_VERSION_AGE)
       break;
-    report.weights.push_back(told);
+    report.weights.push_back(reported);
   }
   for (const auto& [address, gateway] : m_gateways)
   {
@@ -172,21 +173,21 @@
     if (!IsDue(gateway, has_news, now))
       continue;
     const bool is_near = gateway.hall == m_options.hall;
-    gateway.told = now;
+    gateway.last_report = now;
     report.near_gateways.clear();
-    if (is_near && now - gateway.listed >= LIST_PERIOD)
+    if (is_near && now - gateway.gateways_sent_at >= GATEWAY_LIST_PERIOD)
     {
-      gateway.listed = now;
-      report.near_gateways = NearGateways();
+      gateway.gateways_sent_at = now;
+      report.near_gateways = GatewaysOfLocalHall();
     }
     report.echo = gateway.clock;
-    report.echo_age = std::chrono::duration_cast<Milliseconds>(now - gateway.greeted);
+    report.echo_age = std::chrono::duration_cast<Milliseconds>(now - gateway.last_hello);
     actions->push_back(Tell{address, report, true});
   }
-  m_tell_due.reset();
+  m_load_due.reset();
 }
 
-std::vector<Address> Sidecar::NearGateways() const
+std::vector<Address> Sidecar::GatewaysOfLocalHall() const
 {
   std::vector<Address> near_gateways;
   for (const auto& [address, gateway] : m_gateways)
@@ -226,10 +227,10 @@
   LogEvent(Weight::Important, now, "weights.progress", "version", m_wanted, "pieces",
            swarm->PiecesHeld(), "from_origin", swarm->OpenAtOrigin(), "from_peers",
            swarm->OpenAtPeers(), "neighbours", swarm->NeighbourCount(), "unseen",
-           swarm->PiecesUnseen(), "staged", m_stage.StagedCount(), "proven", m_stage.ProvenCount(),
-           "inbound_delay_ms", m_exchange.InboundDelay(now), "busy", m_report && m_report->is_busy,
-           "loaded", LoadedVersion(), "left_ms", EarliestBound(m_wanted) - now, "running",
-           m_report ? m_report->running : 0, "queued", m_report ? m_report->queued : 0,
-           "sent_by_gateways", WorkOfAll(now).requests);
+           swarm->PiecesUnseen(), "staged", m_stage.StagedCount(), "proven",
+           m_stage.VerifiedCount(), "inbound_delay_ms", m_exchange.InboundDelay(now), "busy",
+           m_report && m_report->is_busy, "loaded", LoadedVersion(), "left_ms",
+           EarliestSwitchDeadline(m_wanted) - now, "running", m_report ? m_report->running : 0,
+           "queued", m_report ? m_report->queued : 0, "sent_by_gateways", TotalWork(now).requests);
 }
 } // namespace Holdpost::Sidecar
--- a/Source/Core/Sidecar/SidecarVersions.cpp
+++ b/Source/Core/Sidecar/SidecarVersions.cpp
@@ -24,7 +24,7 @@
 // A sidecar that starts beside an engine with the newest version needs the pieces of this version
 // only for its peers, so it waits for this time before it fetches them. When all processes of a
 // hall restart, copies that fill the links of all targets would delay the returning callers.
-static constexpr Milliseconds SETTLE_TIME = Milliseconds(10000);
+static constexpr Milliseconds SETTLING_TIME = Milliseconds(10000);
 // The time to wait for the engine's first report, which shows whether the engine has the version.
 static constexpr Milliseconds FIRST_REPORT_TIME = Milliseconds(100);
 
@@ -33,12 +33,12 @@
   // The copy time as a multiple of the time that the link alone needs for one copy. A switch waits
   // for its copy in any case, and a smaller factor lets a sidecar that already has its copy start
   // the switch.
-  static constexpr double OVER_LINK = 1.2;
+  static constexpr double LINK_TIME_FACTOR = 1.2;
   const double bytes = static_cast<double>(m_plan.pieces) * m_plan.piece_bytes;
   const auto rate =
       static_cast<double>(std::max<std::uint64_t>(m_options.link_bytes_per_second, 1));
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(OVER_LINK * bytes / rate));
+      std::chrono::duration<double>(LINK_TIME_FACTOR * bytes / rate));
 }
 
 bool Sidecar::MayReplaceWanted(TimePoint now) const
@@ -46,56 +46,56 @@
   const Distribution::Swarm* swarm = WantedSwarm();
   if (m_loader.IsUnderWay() || (swarm && swarm->IsHeld()))
     return false;
-  const TimePoint bound = m_named.at(m_wanted).time + m_options.switch_within;
+  const TimePoint deadline = m_named.at(m_wanted).time + m_options.switch_within;
   // A newer version that can replace the wanted one in time saves each target a switch. However,
   // the origin may fail before the newer version is complete, and then the pieces of the older
   // version are the only ones that the hall has.
-  if (now + CopyTime() + SWITCH_TIME <= bound)
+  if (now + CopyTime() + SWITCH_TIME <= deadline)
     return !IsWantedMostlyFetched(swarm);
   // The wanted version is not worth its bytes if it will miss its switch deadline in any case and
   // more than half a copy of it is still missing.
-  const Duration left = TimeToHold(swarm, now);
-  return now + left > bound && left > WholeCopyTime(now) / 2;
+  const Duration left = RemainingCopyTime(swarm, now);
+  return now + left > deadline && left > CurrentCopyTime(now) / 2;
 }
 
 bool Sidecar::IsWantedMostlyFetched(const Distribution::Swarm* swarm) const
 {
   // The missing pieces delay the newer version by up to a fifth of a copy, and each target may have
   // to switch twice: a smaller part of the wanted version does not justify these costs.
-  static constexpr double MOSTLY = 0.8;
+  static constexpr double MOSTLY_FETCHED_SHARE = 0.8;
   // A hall learns late which pieces the other halls hold, but all halls know when the versions were
   // named. So if the time between the two versions was sufficient for nearly a whole copy, it is
   // sufficient that half of the pieces are known to be held.
-  static constexpr double NEARLY_WHOLE = 0.9;
-  static constexpr double HALF = 0.5;
+  static constexpr double MIN_GAP_IN_COPIES = 0.9;
+  static constexpr double HALF_FETCHED_SHARE = 0.5;
   if (!swarm || !swarm->ManifestHeld())
     return false;
   const auto pieces = static_cast<double>(swarm->ManifestHeld()->PieceCount());
   const double fetched = pieces - swarm->PiecesUnseen();
-  if (fetched >= MOSTLY * pieces)
+  if (fetched >= MOSTLY_FETCHED_SHARE * pieces)
     return true;
   const std::chrono::duration<double> gap =
       m_named.rbegin()->second.time - m_named.at(m_wanted).time;
   const std::chrono::duration<double> copy =
       pieces * std::chrono::duration<double>(OriginPieceTime());
-  return fetched >= HALF * pieces && gap >= NEARLY_WHOLE * copy;
+  return fetched >= HALF_FETCHED_SHARE * pieces && gap >= MIN_GAP_IN_COPIES * copy;
 }
 
-Duration Sidecar::PieceTimeNow(TimePoint now) const
+Duration Sidecar::CurrentPieceTime(TimePoint now) const
 {
   return std::max(PieceTime(), m_exchange.NarrowPieceTime(now));
 }
 
-Duration Sidecar::WholeCopyTime(TimePoint now) const
+Duration Sidecar::CurrentCopyTime(TimePoint now) const
 {
-  return static_cast<Duration::rep>(m_plan.pieces) * PieceTimeNow(now);
+  return static_cast<Duration::rep>(m_plan.pieces) * CurrentPieceTime(now);
 }
 
-Duration Sidecar::TimeToHold(const Distribution::Swarm* swarm, TimePoint now) const
+Duration Sidecar::RemainingCopyTime(const Distribution::Swarm* swarm, TimePoint now) const
 {
   const std::uint32_t held = swarm ? swarm->PiecesHeld() : 0;
   return static_cast<Duration::rep>(m_plan.pieces - std::min(held, m_plan.pieces)) *
-         PieceTimeNow(now);
+         CurrentPieceTime(now);
 }
 
 void Sidecar::ChooseVersion(TimePoint now, Actions* actions)
@@ -103,44 +103,44 @@
   if (m_plan.model.empty() || m_named.empty())
     return;
   const std::uint64_t newest = m_named.rbegin()->first;
-  if (newest <= m_wanted || MayWaitWithFetching(newest, now))
+  if (newest <= m_wanted || MayDelayFetching(newest, now))
     return;
   const bool is_wanted_done = m_wanted == 0 || LoadedVersion() >= m_wanted;
   if ((is_wanted_done && !m_loader.IsUnderWay()) || (!is_wanted_done && MayReplaceWanted(now)))
-    return WantVersion(newest, now, actions);
-  if (MayJumpAhead(now))
-    return WantVersion(m_ahead, now, actions);
+    return SetWantedVersion(newest, now, actions);
+  if (MaySkipToPrefetched(now))
+    return SetWantedVersion(m_prefetched, now, actions);
   const Distribution::Swarm* swarm = WantedSwarm();
   // Once the hall holds all pieces of a version, the origin has nothing else to send.
   const bool is_fetched = swarm && swarm->ManifestHeld() && swarm->PiecesUnseen() == 0;
-  if (newest > m_ahead && is_fetched)
-    CopyAhead(newest, now, actions);
+  if (newest > m_prefetched && is_fetched)
+    PrefetchVersion(newest, now, actions);
 }
 
-bool Sidecar::MayWaitWithFetching(std::uint64_t newest, TimePoint now) const
+bool Sidecar::MayDelayFetching(std::uint64_t newest, TimePoint now) const
 {
-  if (m_wanted > 0 || !m_began)
+  if (m_wanted > 0 || !m_started_at)
     return false;
-  const Duration running = now - *m_began;
+  const Duration running = now - *m_started_at;
   if (!m_report)
     return m_reports_failed == 0 && running < FIRST_REPORT_TIME;
   // The delay differs between sidecars, so that sidecars that start together do not fetch together.
   const auto spread = static_cast<Milliseconds::rep>(
-      Common::StableHash(m_options.address.ToString()) % SETTLE_TIME.count());
-  return LoadedVersion() >= newest && running < SETTLE_TIME + Milliseconds(spread);
+      Common::StableHash(m_options.address.ToString()) % SETTLING_TIME.count());
+  return LoadedVersion() >= newest && running < SETTLING_TIME + Milliseconds(spread);
 }
 
-bool Sidecar::MayJumpAhead(TimePoint now) const
+bool Sidecar::MaySkipToPrefetched(TimePoint now) const
 {
   // The time until the version that was copied ahead is staged, verified and loaded.
-  static constexpr Milliseconds JUMP_TIME = Milliseconds(1000);
-  if (m_ahead <= m_wanted || m_loader.IsUnderWay() || LoadedVersion() >= m_wanted)
+  static constexpr Milliseconds SKIP_TIME = Milliseconds(1000);
+  if (m_prefetched <= m_wanted || m_loader.IsUnderWay() || LoadedVersion() >= m_wanted)
     return false;
-  const Distribution::Swarm* swarm = m_exchange.Find(VersionDigest(m_plan.model, m_ahead));
-  return swarm && swarm->IsHeld() && now + JUMP_TIME <= EarliestBound(m_wanted);
+  const Distribution::Swarm* swarm = m_exchange.Find(VersionDigest(m_plan.model, m_prefetched));
+  return swarm && swarm->IsHeld() && now + SKIP_TIME <= EarliestSwitchDeadline(m_wanted);
 }
 
-TimePoint Sidecar::EarliestBound(std::uint64_t newest) const
+TimePoint Sidecar::EarliestSwitchDeadline(std::uint64_t newest) const
 {
   TimePoint earliest = TimePoint::max();
   for (const auto& [version, since] : m_named)
@@ -151,22 +151,22 @@
   return earliest;
 }
 
-void Sidecar::CopyAhead(std::uint64_t version, TimePoint now, Actions* actions)
+void Sidecar::PrefetchVersion(std::uint64_t version, TimePoint now, Actions* actions)
 {
   LogEvent(Weight::Important, now, "weights.ahead", "version", version, "wanted", m_wanted);
-  m_ahead = version;
+  m_prefetched = version;
   FetchVersion(version, now, actions);
 }
 
-void Sidecar::WantVersion(std::uint64_t version, TimePoint now, Actions* actions)
+void Sidecar::SetWantedVersion(std::uint64_t version, TimePoint now, Actions* actions)
 {
   LogEvent(Weight::Important, now, "weights.wanted", "version", version, "before", m_wanted,
            "loaded", LoadedVersion(), "known_ms", now - m_named.at(version).time);
   // A copy that was abandoned must not use the links any longer.
   if (const Distribution::Swarm* swarm = WantedSwarm(); swarm && swarm->IsHeld())
-    m_before = m_wanted;
+    m_previous = m_wanted;
   m_wanted = version;
-  m_ahead = std::max(m_ahead, version);
+  m_prefetched = std::max(m_prefetched, version);
   m_stage.Want(m_plan.model, version, m_plan.pieces);
   FetchVersion(version, now, actions);
 }
@@ -175,32 +175,33 @@
 {
   const Digest digest = VersionDigest(m_plan.model, version);
   m_versions[digest] = version;
-  Distribution::Actions made;
+  Distribution::Actions new_actions;
   // The previous version is kept for peers that still need it.
   m_exchange.KeepOnly(
-      {digest, VersionDigest(m_plan.model, m_wanted), VersionDigest(m_plan.model, m_before)},
-      &made);
-  m_exchange.Want(digest, now, &made);
-  Translate(std::move(made), now, actions);
-  TellExchangeOfPeers(now, actions);
+      {digest, VersionDigest(m_plan.model, m_wanted), VersionDigest(m_plan.model, m_previous)},
+      &new_actions);
+  m_exchange.Want(digest, now, &new_actions);
+  Translate(std::move(new_actions), now, actions);
+  UpdateExchangePeers(now, actions);
 }
 
 Sidecar::Urgency Sidecar::UrgencyAt(TimePoint now) const
 {
   if (m_wanted == 0)
-    return Urgency::Usual;
+    return Urgency::Normal;
   if (LoadedVersion() >= m_wanted)
   {
-    const bool has_looked = m_has_listed && m_found_staged.empty() && m_found_in_flight == 0;
-    return has_looked ? Urgency::ForOthers : Urgency::FindsStaged;
+    const bool is_stage_checked = m_has_listed && m_found_staged.empty() && m_found_in_flight == 0;
+    return is_stage_checked ? Urgency::ForPeers : Urgency::ChecksStage;
   }
   // An engine without weights answers no requests, so transfers at full rate delay nobody.
   if (LoadedVersion() == 0)
-    return Urgency::Haste;
+    return Urgency::Urgent;
   const Distribution::Swarm* swarm = WantedSwarm();
   const bool is_held = swarm && swarm->IsHeld();
-  const bool is_late = now + 2 * TimeToHold(swarm, now) + SWITCH_TIME > EarliestBound(m_wanted);
-  return !is_held && is_late ? Urgency::Haste : Urgency::Usual;
+  const bool is_late =
+      now + 2 * RemainingCopyTime(swarm, now) + SWITCH_TIME > EarliestSwitchDeadline(m_wanted);
+  return !is_held && is_late ? Urgency::Urgent : Urgency::Normal;
 }
 
 std::optional<TimePoint> Sidecar::SwitchAt(TimePoint now) const
@@ -213,9 +214,9 @@
   // A version that replaces a skipped one has to be in use before the switch deadline of the
   // skipped version.
   const TimePoint named = m_named.at(m_wanted).time;
-  const SwitchWindow window{named, EarliestBound(m_wanted) - named, CopyTime()};
-  const TimePoint planned =
-      PlannedSwitch(window, SwitchRank(m_options.address, m_peers, m_wanted), m_peers.size());
+  const SwitchWindow window{named, EarliestSwitchDeadline(m_wanted) - named, CopyTime()};
+  const TimePoint planned = PlannedSwitchTime(
+      window, SwitchOrderRank(m_options.address, m_peers, m_wanted), m_peers.size());
   const Distribution::Swarm* swarm = WantedSwarm();
   if (!swarm || swarm->IsHeld() || !swarm->ManifestHeld())
     return planned;
--- a/Source/Core/Sidecar/StageKeeper.cpp
+++ b/Source/Core/Sidecar/StageKeeper.cpp
@@ -9,10 +9,10 @@
 using Common::TimePoint;
 
 // The maximum number of calls to the engine at once.
-static constexpr std::uint32_t CALLS_MOST = 2;
-static constexpr Milliseconds PAUSE_AFTER_FAILURE = Milliseconds(100);
+static constexpr std::uint32_t MAX_CONCURRENT_CALLS = 2;
+static constexpr Milliseconds RETRY_DELAY = Milliseconds(100);
 
-void StageKeeper::Want(const std::string& model, std::uint64_t version, std::uint32_t pieces)
+void StageManager::Want(const std::string& model, std::uint64_t version, std::uint32_t pieces)
 {
   if (model == m_model && version == m_version && pieces == m_pieces.size())
     return;
@@ -20,25 +20,26 @@
   m_version = version;
   m_pieces.assign(pieces, State::Missing);
   m_staged = 0;
-  m_proven = 0;
+  m_verified = 0;
   m_in_flight = 0;
-  m_proof_begun.reset();
+  m_verification_started_at.reset();
 }
 
-void StageKeeper::SetState(std::uint32_t piece, State state)
+void StageManager::SetState(std::uint32_t piece, State state)
 {
   const auto is_staged = [](State s) { return s >= State::Staged; };
-  State& present = m_pieces[piece];
-  m_staged += is_staged(state) - is_staged(present);
-  m_proven += (state == State::Proven) - (present == State::Proven);
-  present = state;
+  State& current = m_pieces[piece];
+  m_staged += is_staged(state) - is_staged(current);
+  m_verified += (state == State::Verified) - (current == State::Verified);
+  current = state;
 }
 
-void StageKeeper::OnTick(const Distribution::Swarm& swarm, TimePoint now, StageActions* actions)
+void StageManager::OnTick(const Distribution::Swarm& swarm, TimePoint now, StageActions* actions)
 {
   if (now < m_not_before)
     return;
-  for (std::uint32_t piece = 0; piece < m_pieces.size() && m_in_flight < CALLS_MOST; ++piece)
+  for (std::uint32_t piece = 0; piece < m_pieces.size() && m_in_flight < MAX_CONCURRENT_CALLS;
+       ++piece)
   {
     if (m_pieces[piece] != State::Missing)
       continue;
@@ -51,63 +52,64 @@
   }
   if (!IsStaged())
     return;
-  for (std::uint32_t piece = 0; piece < m_pieces.size() && m_in_flight < CALLS_MOST; ++piece)
+  for (std::uint32_t piece = 0; piece < m_pieces.size() && m_in_flight < MAX_CONCURRENT_CALLS;
+       ++piece)
   {
     if (m_pieces[piece] != State::Staged)
       continue;
-    if (!m_proof_begun)
-      m_proof_begun = now;
+    if (!m_verification_started_at)
+      m_verification_started_at = now;
     SetState(piece, State::Reading);
     ++m_in_flight;
     actions->push_back(ReadStaged{m_model, piece});
   }
 }
 
-void StageKeeper::OnStaged(const PieceStaged& staged, TimePoint now)
+void StageManager::OnStaged(const PieceStaged& staged, TimePoint now)
 {
   m_in_flight -= std::min(m_in_flight, 1U);
   if (staged.piece >= m_pieces.size() || m_pieces[staged.piece] != State::Staging)
     return;
-  const bool is_good = Common::Succeeded(staged.result);
-  SetState(staged.piece, is_good ? State::Staged : State::Missing);
-  if (!is_good)
-    m_not_before = now + PAUSE_AFTER_FAILURE;
+  const bool is_accepted = Common::Succeeded(staged.result);
+  SetState(staged.piece, is_accepted ? State::Staged : State::Missing);
+  if (!is_accepted)
+    m_not_before = now + RETRY_DELAY;
 }
 
-void StageKeeper::OnRead(const StagedRead& read, const Distribution::Swarm& swarm, TimePoint now)
+void StageManager::OnRead(const StagedRead& read, const Distribution::Swarm& swarm, TimePoint now)
 {
   m_in_flight -= std::min(m_in_flight, 1U);
   if (read.piece >= m_pieces.size() || m_pieces[read.piece] != State::Reading)
     return;
   const auto* data = std::get_if<Common::Bytes>(&read.result);
   if (data && swarm.IsRight(read.piece, **data))
-    return SetState(read.piece, State::Proven);
+    return SetState(read.piece, State::Verified);
   // The piece was lost or is corrupt: it is staged again.
   SetState(read.piece, State::Missing);
   if (!data)
-    m_not_before = now + PAUSE_AFTER_FAILURE;
+    m_not_before = now + RETRY_DELAY;
 }
 
-void StageKeeper::OnFound(std::uint32_t piece)
+void StageManager::OnFound(std::uint32_t piece)
 {
   if (piece < m_pieces.size() && m_pieces[piece] == State::Missing)
     SetState(piece, State::Staged);
 }
 
-void StageKeeper::ProveAgain()
+void StageManager::VerifyAgain()
 {
   for (std::uint32_t piece = 0; piece < m_pieces.size(); ++piece)
   {
-    if (m_pieces[piece] == State::Proven)
+    if (m_pieces[piece] == State::Verified)
       SetState(piece, State::Staged);
   }
-  m_proof_begun.reset();
+  m_verification_started_at.reset();
 }
 
-std::optional<TimePoint> StageKeeper::ProvenSince() const
+std::optional<TimePoint> StageManager::VerifiedSince() const
 {
-  if (m_pieces.empty() || m_proven != m_pieces.size())
+  if (m_pieces.empty() || m_verified != m_pieces.size())
     return std::nullopt;
-  return m_proof_begun;
+  return m_verification_started_at;
 }
 } // namespace Holdpost::Sidecar
--- a/Source/Core/Sidecar/StageKeeper.h
+++ b/Source/Core/Sidecar/StageKeeper.h
@@ -19,7 +19,7 @@
 using StageAction = std::variant<ListStaged, ReadStaged, StagePiece>;
 using StageActions = std::vector<StageAction>;
 
-class StageKeeper
+class StageManager
 {
 public:
   // Sets the version that the stage should hold. Staged pieces of another version are overwritten.
@@ -36,11 +36,11 @@
 
   // The time at which the current verification began, if every piece has been read back and found
   // correct since then; otherwise empty.
-  std::optional<Common::TimePoint> ProvenSince() const;
+  std::optional<Common::TimePoint> VerifiedSince() const;
   // Discards the verification, so that all pieces are read back once more.
-  void ProveAgain();
+  void VerifyAgain();
   std::size_t StagedCount() const { return m_staged; }
-  std::size_t ProvenCount() const { return m_proven; }
+  std::size_t VerifiedCount() const { return m_verified; }
   bool IsStaged() const { return m_staged == m_pieces.size() && !m_pieces.empty(); }
 
 private:
@@ -50,7 +50,7 @@
     Staging,
     Staged,
     Reading,
-    Proven,
+    Verified,
   };
 
   void SetState(std::uint32_t piece, State state);
@@ -58,11 +58,11 @@
   std::string m_model;
   std::uint64_t m_version = 0;
   std::vector<State> m_pieces;
-  std::size_t m_staged = 0; // Staged, Reading or Proven
-  std::size_t m_proven = 0;
+  std::size_t m_staged = 0; // pieces that are Staged, Reading or Verified
+  std::size_t m_verified = 0;
   std::uint32_t m_in_flight = 0;
   std::uint64_t m_epoch = 0;
-  std::optional<Common::TimePoint> m_proof_begun;
+  std::optional<Common::TimePoint> m_verification_started_at;
   Common::TimePoint m_not_before{};
 };
 } // namespace Holdpost::Sidecar
--- a/Source/Core/Sidecar/WeightsLoader.cpp
+++ b/Source/Core/Sidecar/WeightsLoader.cpp
@@ -13,8 +13,8 @@
 using Common::Weight;
 
 // The time until gateways know that the target accepts no new requests.
-static constexpr Milliseconds ANNOUNCE_TIME = Milliseconds(30);
-static constexpr Milliseconds RETRY_PAUSE = Milliseconds(150);
+static constexpr Milliseconds ANNOUNCEMENT_LEAD_TIME = Milliseconds(30);
+static constexpr Milliseconds ORDER_RETRY_DELAY = Milliseconds(150);
 
 void WeightsLoader::Begin(const std::string& model, std::uint64_t version, TimePoint now)
 {
@@ -29,7 +29,7 @@
 
 std::optional<StartWeights> WeightsLoader::OnTick(TimePoint now)
 {
-  if (m_state != LoaderState::Announced || now - m_since < ANNOUNCE_TIME)
+  if (m_state != LoaderState::Announced || now - m_since < ANNOUNCEMENT_LEAD_TIME)
     return std::nullopt;
   m_state = LoaderState::Ordered;
   m_since = now;
@@ -57,16 +57,16 @@
     return;
   }
   m_state = LoaderState::Idle;
-  m_not_before = now + RETRY_PAUSE;
+  m_not_before = now + ORDER_RETRY_DELAY;
 }
 
 void WeightsLoader::OnReport(const EngineReport& report, TimePoint now)
 {
-  const bool has_taken = report.is_busy || report.orders > m_orders_seen;
+  const bool is_accepted = report.is_busy || report.orders > m_orders_seen;
   if (m_state == LoaderState::Ordered && m_is_unanswered)
   {
-    m_state = has_taken ? LoaderState::Loading : LoaderState::Idle;
-    m_not_before = now + RETRY_PAUSE;
+    m_state = is_accepted ? LoaderState::Loading : LoaderState::Idle;
+    m_not_before = now + ORDER_RETRY_DELAY;
   }
   const bool is_done = report.weights_version == m_version && !report.is_busy;
   if (m_state == LoaderState::Loading && is_done)
--- a/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
@@ -14,18 +14,18 @@
 namespace
 {
 const Common::TimePoint START{std::chrono::hours(1)};
-const Mesh::Sender NEAR{"front-1", "here", {"10.0.0.1", 7700}, 1};
-const Mesh::Sender OTHER{"front-2", "here", {"10.0.0.2", 7700}, 1};
-const Mesh::Sender FAR{"front-3", "there", {"10.0.0.3", 7700}, 1};
+const Mesh::Sender LOCAL_GATEWAY{"front-1", "here", {"10.0.0.1", 7700}, 1};
+const Mesh::Sender SECOND_LOCAL_GATEWAY{"front-2", "here", {"10.0.0.2", 7700}, 1};
+const Mesh::Sender REMOTE_GATEWAY{"front-3", "there", {"10.0.0.3", 7700}, 1};
 
 // A sidecar whose engine runs two requests, and three gateways, of which two need every report.
 struct Fixture
 {
   Fixture()
   {
-    Receive(NEAR, true);
-    Receive(OTHER, true);
-    Receive(FAR, false);
+    Receive(LOCAL_GATEWAY, true);
+    Receive(SECOND_LOCAL_GATEWAY, true);
+    Receive(REMOTE_GATEWAY, false);
     ReadReport(2, 0);
     Reports();
   }
@@ -45,11 +45,11 @@
     report.weights_version = 1;
     sidecar.Handle(ReportRead{report}, now, &actions);
   }
-  void TellWork(const Mesh::Sender& from, std::uint32_t requests, std::uint32_t unread)
+  void AnnounceWork(const Mesh::Sender& from, std::uint32_t requests, std::uint32_t unread)
   {
     sidecar.OnMessage(from, Mesh::TellWork{{requests, unread}}, now, &actions);
   }
-  void Pass(Common::Duration time)
+  void AdvanceBy(Common::Duration time)
   {
     now += time;
     sidecar.OnTick(now, &actions);
@@ -57,10 +57,10 @@
   // The loads that were reported to gateways since the last call, by gateway address.
   std::map<Address, Gateway::TargetLoad> Reports()
   {
-    std::map<Address, Gateway::TargetLoad> told;
-    for (const Tell& tell : Take<Tell>(actions))
-      told[tell.to] = std::get<Mesh::LoadReport>(tell.message).load;
-    return told;
+    std::map<Address, Gateway::TargetLoad> reports;
+    for (const Tell& send : Take<Tell>(actions))
+      reports[send.to] = std::get<Mesh::LoadReport>(send.message).load;
+    return reports;
   }
 
   Common::Metrics metrics;
@@ -75,72 +75,76 @@
 {
   Fixture f;
   f.now += Milliseconds(30);
-  f.TellWork(NEAR, 1, 1200);
-  auto told = f.Reports();
-  REQUIRE(told.size() == 2);
-  CHECK(told.at(OTHER.address).running + told.at(OTHER.address).queued == 3);
-  CHECK(told.at(OTHER.address).unread_prompt_tokens == 1200);
+  f.AnnounceWork(LOCAL_GATEWAY, 1, 1200);
+  auto reports = f.Reports();
+  REQUIRE(reports.size() == 2);
+  CHECK(reports.at(SECOND_LOCAL_GATEWAY.address).running +
+            reports.at(SECOND_LOCAL_GATEWAY.address).queued ==
+        3);
+  CHECK(reports.at(SECOND_LOCAL_GATEWAY.address).unread_prompt_tokens == 1200);
 
   SUBCASE("but at most once every ten milliseconds")
   {
     f.now += Milliseconds(2);
-    f.TellWork(OTHER, 1, 300);
-    f.TellWork(NEAR, 2, 1700);
+    f.AnnounceWork(SECOND_LOCAL_GATEWAY, 1, 300);
+    f.AnnounceWork(LOCAL_GATEWAY, 2, 1700);
     CHECK(f.Reports().empty());
     CHECK(f.sidecar.NextWakeup(f.now) <= f.now + Milliseconds(8));
-    f.Pass(Milliseconds(8));
-    told = f.Reports();
-    REQUIRE(told.size() == 2);
-    CHECK(told.at(NEAR.address).unread_prompt_tokens == 2000);
-    CHECK(told.at(NEAR.address).running + told.at(NEAR.address).queued == 5);
+    f.AdvanceBy(Milliseconds(8));
+    reports = f.Reports();
+    REQUIRE(reports.size() == 2);
+    CHECK(reports.at(LOCAL_GATEWAY.address).unread_prompt_tokens == 2000);
+    CHECK(reports.at(LOCAL_GATEWAY.address).running + reports.at(LOCAL_GATEWAY.address).queued ==
+          5);
   }
   SUBCASE("ended work is reported with the next periodic report")
   {
     f.now += Milliseconds(20);
-    f.TellWork(NEAR, 0, 0);
+    f.AnnounceWork(LOCAL_GATEWAY, 0, 0);
     CHECK(f.Reports().empty());
     f.now += Milliseconds(80);
     f.ReadReport(2, 0);
-    told = f.Reports();
-    CHECK(told.at(NEAR.address).running + told.at(NEAR.address).queued == 2);
-    CHECK(told.at(NEAR.address).unread_prompt_tokens == 0);
+    reports = f.Reports();
+    CHECK(reports.at(LOCAL_GATEWAY.address).running + reports.at(LOCAL_GATEWAY.address).queued ==
+          2);
+    CHECK(reports.at(LOCAL_GATEWAY.address).unread_prompt_tokens == 0);
   }
   SUBCASE("work that the engine's report already contains is not counted twice")
   {
     f.now += Milliseconds(80);
     f.ReadReport(3, 0);
-    told = f.Reports();
-    CHECK(told.at(NEAR.address).running == 3);
-    CHECK(told.at(NEAR.address).queued == 0);
+    reports = f.Reports();
+    CHECK(reports.at(LOCAL_GATEWAY.address).running == 3);
+    CHECK(reports.at(LOCAL_GATEWAY.address).queued == 0);
   }
   SUBCASE("a gateway that has become silent counts as having nothing at the target")
   {
     f.now += Milliseconds(1600);
-    f.Receive(OTHER, true);
+    f.Receive(SECOND_LOCAL_GATEWAY, true);
     f.ReadReport(2, 0);
-    CHECK(f.Reports().at(OTHER.address).unread_prompt_tokens == 0);
+    CHECK(f.Reports().at(SECOND_LOCAL_GATEWAY.address).unread_prompt_tokens == 0);
   }
 }
 
 TEST_CASE("A load report holds the arrivals at all gateways that send requests to the target")
 {
   Fixture f;
-  f.Receive(NEAR, true, {30, 0.5});
-  f.Receive(OTHER, true, {10, 0.1});
-  f.Receive(FAR, false, {500, 1});
+  f.Receive(LOCAL_GATEWAY, true, {30, 0.5});
+  f.Receive(SECOND_LOCAL_GATEWAY, true, {10, 0.1});
+  f.Receive(REMOTE_GATEWAY, false, {500, 1});
   f.now += Milliseconds(100);
   f.ReadReport(2, 0);
-  Gateway::GatewayDemand demand = f.Reports().at(NEAR.address).demand;
+  Gateway::GatewayDemand demand = f.Reports().at(LOCAL_GATEWAY.address).demand;
   CHECK(demand.near_per_second == 40);
   CHECK(demand.far_per_second == 0);
   CHECK(demand.refused_share == doctest::Approx(0.4));
 
   SUBCASE("including gateways of other halls that need every report")
   {
-    f.Receive(FAR, true, {40, 0});
+    f.Receive(REMOTE_GATEWAY, true, {40, 0});
     f.now += Milliseconds(100);
     f.ReadReport(2, 0);
-    demand = f.Reports().at(NEAR.address).demand;
+    demand = f.Reports().at(LOCAL_GATEWAY.address).demand;
     CHECK(demand.far_per_second == 40);
     CHECK(demand.refused_share == doctest::Approx(0.2));
   }
@@ -155,8 +159,8 @@
     f.now += Milliseconds(100);
     f.ReadReport(2, 0);
     std::uint32_t gateways = 0;
-    for (const Tell& tell : Take<Tell>(f.actions))
-      gateways = std::get<Mesh::LoadReport>(tell.message).gateways;
+    for (const Tell& send : Take<Tell>(f.actions))
+      gateways = std::get<Mesh::LoadReport>(send.message).gateways;
     return gateways;
   };
   CHECK(count() == 3);
@@ -164,7 +168,7 @@
   hello.is_gateway = true;
   hello.wants_load = true;
   hello.near_gateways = 10;
-  f.sidecar.OnMessage(FAR, hello, f.now, &f.actions);
+  f.sidecar.OnMessage(REMOTE_GATEWAY, hello, f.now, &f.actions);
   CHECK(count() == 12);
 }
 
@@ -177,39 +181,39 @@
   hello.plan = {"llm", "m", 8, 1024, Milliseconds(300), {"10.9.0.1", 80}, "here"};
   hello.peers = {{{"10.0.0.9", 7700}, "here"}};
   hello.stamp = {7, 40};
-  f.sidecar.OnMessage(NEAR, hello, f.now, &f.actions);
+  f.sidecar.OnMessage(LOCAL_GATEWAY, hello, f.now, &f.actions);
   CHECK(f.sidecar.HasPlan());
   hello.stamp = {5, 50};
-  f.sidecar.OnMessage(OTHER, hello, f.now, &f.actions);
+  f.sidecar.OnMessage(SECOND_LOCAL_GATEWAY, hello, f.now, &f.actions);
   f.actions.clear();
   f.now += Milliseconds(100);
   f.ReadReport(2, 0);
-  const auto told = Take<Tell>(f.actions);
-  REQUIRE(!told.empty());
-  CHECK(std::get<Mesh::LoadReport>(told[0].message).stamp == Mesh::BriefingStamp{7, 50});
+  const auto reports = Take<Tell>(f.actions);
+  REQUIRE(!reports.empty());
+  CHECK(std::get<Mesh::LoadReport>(reports[0].message).stamp == Mesh::BriefingStamp{7, 50});
 }
 
 TEST_CASE("Gateways that do not need every report get one per second")
 {
   Fixture f;
-  int far = 0;
+  int far_reports = 0;
   for (int i = 0; i < 50; ++i)
   {
     f.now += Milliseconds(100);
-    f.Receive(FAR, false);
-    f.Receive(NEAR, true);
+    f.Receive(REMOTE_GATEWAY, false);
+    f.Receive(LOCAL_GATEWAY, true);
     f.ReadReport(2, 0);
-    far += static_cast<int>(f.Reports().contains(FAR.address));
+    far_reports += static_cast<int>(f.Reports().contains(REMOTE_GATEWAY.address));
   }
-  CHECK(far >= 4);
-  CHECK(far <= 6);
+  CHECK(far_reports >= 4);
+  CHECK(far_reports <= 6);
 
   SUBCASE("until they need every report")
   {
-    f.Receive(FAR, true);
+    f.Receive(REMOTE_GATEWAY, true);
     f.now += Milliseconds(30);
-    f.TellWork(NEAR, 1, 1000);
-    CHECK(f.Reports().contains(FAR.address));
+    f.AnnounceWork(LOCAL_GATEWAY, 1, 1000);
+    CHECK(f.Reports().contains(REMOTE_GATEWAY.address));
   }
 }
 
@@ -221,14 +225,14 @@
   hello.is_gateway = true;
   hello.wants_load = true;
   hello.clock = Mesh::ClockOf(f.now);
-  f.sidecar.OnMessage(NEAR, hello, f.now, &f.actions);
+  f.sidecar.OnMessage(LOCAL_GATEWAY, hello, f.now, &f.actions);
   f.now += Milliseconds(300);
-  f.TellWork(NEAR, 1, 1200);
-  std::optional<Milliseconds> way;
-  for (const Tell& tell : Take<Tell>(f.actions))
+  f.AnnounceWork(LOCAL_GATEWAY, 1, 1200);
+  std::optional<Milliseconds> round_trip;
+  for (const Tell& send : Take<Tell>(f.actions))
   {
-    if (tell.to == NEAR.address)
-      way = Mesh::RoundTrip(std::get<Mesh::LoadReport>(tell.message), f.now);
+    if (send.to == LOCAL_GATEWAY.address)
+      round_trip = Mesh::RoundTrip(std::get<Mesh::LoadReport>(send.message), f.now);
   }
-  CHECK(way == Milliseconds(0));
+  CHECK(round_trip == Milliseconds(0));
 }
--- a/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
@@ -28,13 +28,13 @@
   void Receive(const Mesh::Message& message) { sidecar.OnMessage(GATEWAY, message, now, &actions); }
   // The receivers of the messages of this type that were sent since the last call.
   template <typename Message>
-  std::vector<Address> Told()
+  std::vector<Address> ReceiversOf()
   {
     std::vector<Address> receivers;
-    for (const Tell& tell : Take<Tell>(actions))
+    for (const Tell& send : Take<Tell>(actions))
     {
-      if (std::holds_alternative<Message>(tell.message))
-        receivers.push_back(tell.to);
+      if (std::holds_alternative<Message>(send.message))
+        receivers.push_back(send.to);
     }
     return receivers;
   }
@@ -52,14 +52,14 @@
 {
   Fixture fixture;
   fixture.Tick(Milliseconds(0));
-  REQUIRE(fixture.Told<Mesh::AskGateways>() == std::vector{SEED});
+  REQUIRE(fixture.ReceiversOf<Mesh::AskGateways>() == std::vector{SEED});
 
   SUBCASE("and asks some of these gateways for a briefing, so that it need not wait until it is in "
           "the target list")
   {
     const std::vector<Address> named = {{"10.0.0.1", 7700}, {"10.0.0.2", 7700}, {"10.0.0.3", 7700}};
     fixture.Receive(Mesh::TellGateways{named});
-    const std::vector<Address> asked = fixture.Told<Mesh::AskBriefing>();
+    const std::vector<Address> asked = fixture.ReceiversOf<Mesh::AskBriefing>();
     REQUIRE(asked.size() == 2);
     CHECK(asked[0] != asked[1]);
     fixture.sidecar.Handle(ReportRead{EngineReport{}}, fixture.now, &fixture.actions);
@@ -73,12 +73,12 @@
     CHECK(fixture.sidecar.HasPlan());
     CHECK(fixture.sidecar.WantedVersion() == 3);
     fixture.Tick(Milliseconds(300));
-    CHECK(fixture.Told<Mesh::AskGateways>().empty());
+    CHECK(fixture.ReceiversOf<Mesh::AskGateways>().empty());
   }
   SUBCASE("and asks again while no gateway answers, and the platform after a timeout")
   {
     fixture.Tick(Milliseconds(250));
-    CHECK(fixture.Told<Mesh::AskGateways>().size() == 1);
+    CHECK(fixture.ReceiversOf<Mesh::AskGateways>().size() == 1);
     CHECK_FALSE(fixture.sidecar.IsAlone(START + Milliseconds(1400)));
     CHECK(fixture.sidecar.IsAlone(START + Milliseconds(1600)));
   }
@@ -88,7 +88,7 @@
     hello.is_gateway = true;
     fixture.Receive(hello);
     fixture.Tick(Milliseconds(250));
-    CHECK(fixture.Told<Mesh::AskGateways>().size() == 1);
+    CHECK(fixture.ReceiversOf<Mesh::AskGateways>().size() == 1);
   }
 }
 
@@ -103,8 +103,8 @@
   CHECK_FALSE(fixture.sidecar.ToldVersionsUntil().has_value());
   // The sidecar takes the plan from the platform, which does not report when the version was named.
   fixture.sidecar.OnPlan(PLAN, fixture.now);
-  Mesh::Hello whole = hello;
-  whole.plan = PLAN;
-  fixture.Receive(whole);
+  Mesh::Hello hello_with_plan = hello;
+  hello_with_plan.plan = PLAN;
+  fixture.Receive(hello_with_plan);
   CHECK(fixture.sidecar.ToldVersionsUntil() == fixture.now);
 }
--- a/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
@@ -34,23 +34,23 @@
     sidecar.Handle(ReportRead{report}, now, &actions);
   }
   // The id reads that the sidecar requests after the given time has passed.
-  std::vector<ReadIdentity> Pass(Common::Duration time)
+  std::vector<ReadIdentity> AdvanceBy(Common::Duration time)
   {
     now += time;
     sidecar.OnTick(now, &actions);
     return Take<ReadIdentity>(actions);
   }
   // The id in the next report to the gateway.
-  Gateway::TargetId ToldId()
+  Gateway::TargetId ReportedId()
   {
     actions.clear();
     Report(incarnation);
     Gateway::TargetId id;
     now += Milliseconds(100);
     sidecar.Handle(ReportRead{EngineReport{incarnation, 1}}, now, &actions);
-    for (const Tell& tell : Take<Tell>(actions))
+    for (const Tell& send : Take<Tell>(actions))
     {
-      if (const auto* report = std::get_if<Mesh::LoadReport>(&tell.message))
+      if (const auto* report = std::get_if<Mesh::LoadReport>(&send.message))
         id = report->load.id;
     }
     return id;
@@ -68,27 +68,27 @@
 TEST_CASE("A sidecar reads the id under which its engine is listed")
 {
   Fixture f;
-  CHECK(f.Pass(Milliseconds(10)).empty());
+  CHECK(f.AdvanceBy(Milliseconds(10)).empty());
   f.Report(1);
-  const auto asked = f.Pass(Milliseconds(10));
+  const auto asked = f.AdvanceBy(Milliseconds(10));
   REQUIRE(asked.size() == 1);
   CHECK(asked[0].page == "/who-are-you");
-  CHECK(f.ToldId().empty());
+  CHECK(f.ReportedId().empty());
 
   SUBCASE("once, and sends it with its reports")
   {
     f.sidecar.Handle(IdentityRead{std::string("i-1")}, f.now, &f.actions);
-    CHECK(f.ToldId() == "i-1");
-    CHECK(f.Pass(Milliseconds(2000)).empty());
+    CHECK(f.ReportedId() == "i-1");
+    CHECK(f.AdvanceBy(Milliseconds(2000)).empty());
 
     SUBCASE("and reads it again after the engine has restarted")
     {
       f.incarnation = 2;
       f.Report(2);
-      CHECK(f.ToldId().empty());
-      REQUIRE(f.Pass(Milliseconds(10)).size() == 1);
+      CHECK(f.ReportedId().empty());
+      REQUIRE(f.AdvanceBy(Milliseconds(10)).size() == 1);
       f.sidecar.Handle(IdentityRead{std::string("i-2")}, f.now, &f.actions);
-      CHECK(f.ToldId() == "i-2");
+      CHECK(f.ReportedId() == "i-2");
     }
   }
   SUBCASE("but ignores an answer of an earlier incarnation of the engine")
@@ -96,7 +96,7 @@
     f.incarnation = 2;
     f.Report(2);
     f.sidecar.Handle(IdentityRead{std::string("i-1")}, f.now, &f.actions);
-    CHECK(f.ToldId().empty());
+    CHECK(f.ReportedId().empty());
   }
   SUBCASE("and retries a few times if the engine does not report it")
   {
@@ -105,7 +105,7 @@
     {
       f.sidecar.Handle(IdentityRead{Common::Error{Common::ErrorKind::SourceBusy, "full"}}, f.now,
                        &f.actions);
-      reads += f.Pass(Milliseconds(400)).size();
+      reads += f.AdvanceBy(Milliseconds(400)).size();
     }
     CHECK(reads == 3);
   }
--- a/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
@@ -14,47 +14,47 @@
   world.RunFor(Milliseconds(3000));
   const double fetched_before = world.CopiesFromOrigin();
   CHECK(fetched_before < 0.3);
-  world.Name(2);
+  world.NameVersion(2);
   const double seconds = SecondsUntilLoaded(world, 2);
   CHECK(world.HaveAllLoaded(2));
   CHECK(seconds < 8.0);
   CHECK(world.Fault().empty());
   CHECK(world.CopiesFromOrigin() - fetched_before < 1.3);
   // One copy crosses into each of the two other halls.
-  CHECK(world.CopiesAcross() < 2.6);
+  CHECK(world.CrossHallCopies() < 2.6);
 }
 
 TEST_CASE("Engines switch to new weights one after the other")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
-  std::size_t least = world.Count();
+  world.NameVersion(2);
+  std::size_t min_serving = world.Count();
   world.RunUntil(
       [&]
       {
-        least = std::min(least, world.Serving());
+        min_serving = std::min(min_serving, world.ServingEngines());
         return world.HaveAllLoaded(2);
       },
-      BOUND);
+      SWITCH_WITHIN);
   CHECK(world.HaveAllLoaded(2));
-  CHECK(least >= world.Count() - 4);
+  CHECK(min_serving >= world.Count() - 4);
 }
 
 TEST_CASE("An origin that becomes reachable again is soon used again")
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(2000));
   world.SetOriginDown(true);
   world.RunFor(Milliseconds(6000));
-  const std::uint32_t held = world.At(4).PiecesHeld(2);
+  const std::uint32_t held = world.SidecarAt(4).PiecesHeld(2);
   REQUIRE(held > 40);
   REQUIRE(held < 80);
   world.SetOriginDown(false);
   const Common::TimePoint back = world.Now();
-  world.RunUntil([&] { return world.At(4).PiecesHeld(2) > held; }, Milliseconds(10000));
+  world.RunUntil([&] { return world.SidecarAt(4).PiecesHeld(2) > held; }, Milliseconds(10000));
   CHECK(world.Now() - back < Milliseconds(450));
   CHECK(SecondsUntilLoaded(world, 2) < 4.0);
 }
@@ -65,7 +65,7 @@
   world.RunFor(Milliseconds(3000));
   // One sidecar in the origin's hall, and one in another hall.
   const std::vector<std::size_t> slow = {8, 15};
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(300));
   for (const std::size_t node : slow)
     world.SetLink(node, 113750);
@@ -75,28 +75,29 @@
 
 TEST_CASE("A narrow link is fully used for weights, but its queue stays short for requests")
 {
-  static constexpr std::uint64_t NARROW = 82000;
-  static constexpr std::size_t NODE = 5;
+  static constexpr std::uint64_t NARROW_BYTES_PER_SECOND = 82000;
+  static constexpr std::size_t NARROW_NODE = 5;
   SidecarWorld world = MakeWorld({{{"a", 6}, {"b", 7}, {"c", 7}}});
   world.RunFor(Milliseconds(3000));
-  world.SetLink(NODE, NARROW);
-  world.Name(2);
+  world.SetLink(NARROW_NODE, NARROW_BYTES_PER_SECOND);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(6000));
-  const auto held = [&](std::uint64_t version) { return world.At(NODE).PiecesHeld(version); };
+  const auto held = [&](std::uint64_t version)
+  { return world.SidecarAt(NARROW_NODE).PiecesHeld(version); };
   // The link carries 20 pieces in this time, less the time that the sidecar needs to detect that
   // the link is narrow.
   CHECK(held(2) >= 8);
 
   // With the next version, the link is known to be narrow from the start.
-  world.Name(3);
+  world.NameVersion(3);
   world.RunFor(Milliseconds(1000));
-  std::size_t most = 0;
+  std::size_t max_waiting_bytes = 0;
   for (int i = 0; i < 400; ++i)
   {
     world.RunFor(Milliseconds(10));
-    most = std::max(most, world.WaitingFor(NODE));
+    max_waiting_bytes = std::max(max_waiting_bytes, world.BytesWaitingFor(NARROW_NODE));
   }
-  CHECK(most < 3 * 24576);
+  CHECK(max_waiting_bytes < 3 * 24576);
   // The link carries 16 pieces in this time, and the announcements of the pieces that peers hold.
   CHECK(held(3) >= 4);
 }
@@ -105,7 +106,7 @@
 {
   SidecarWorld world = MakeWorld({{{"a", 6}, {"b", 7}, {"c", 7}}});
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(1300));
   for (const std::size_t node : {0, 7, 9, 14})
     world.Restart(node, Milliseconds(500));
@@ -121,22 +122,22 @@
   SUBCASE("another hall")
   {
     for (const std::size_t node : {8, 9, 10, 11})
-      world.SetCut(node, true);
-    world.Name(2);
+      world.SetCutOff(node, true);
+    world.NameVersion(2);
     CHECK(SecondsUntilLoaded(world, 2, {8, 9, 10, 11}) < 8.0);
   }
   SUBCASE("the hall in the middle of the ring")
   {
     for (const std::size_t node : {0, 1, 2, 3})
-      world.SetCut(node, true);
-    world.Name(2);
+      world.SetCutOff(node, true);
+    world.NameVersion(2);
     CHECK(SecondsUntilLoaded(world, 2, {0, 1, 2, 3}) < 8.0);
   }
   SUBCASE("the origin's hall")
   {
     for (const std::size_t node : {4, 5, 6, 7})
-      world.SetCut(node, true);
-    world.Name(2);
+      world.SetCutOff(node, true);
+    world.NameVersion(2);
     CHECK(SecondsUntilLoaded(world, 2, {4, 5, 6, 7}) < 8.0);
   }
 }
@@ -149,9 +150,9 @@
     WorldOptions options;
     options.seed = seed;
     SidecarWorld world(options);
-    world.SpoilOrigin(0.08);
+    world.CorruptOrigin(0.08);
     world.RunFor(Milliseconds(3000));
-    world.Name(2);
+    world.NameVersion(2);
     CHECK(SecondsUntilLoaded(world, 2) < 8.0);
     CHECK(world.Fault().empty());
     CHECK(world.CopiesFromOrigin() < 2.2);
@@ -162,10 +163,10 @@
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(3500));
   for (std::size_t node = 0; node < world.Count(); ++node)
-    world.SpoilStage(node, static_cast<std::uint32_t>(node));
+    world.CorruptStage(node, static_cast<std::uint32_t>(node));
   // Corruption in the last moments before an order may go unnoticed; the corruption of this test
   // comes long before the orders.
   CHECK(SecondsUntilLoaded(world, 2) < 8.0);
@@ -175,13 +176,13 @@
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   SecondsUntilLoaded(world, 2);
   const double fetched_before = world.CopiesFromOrigin();
   world.Restart(0, Milliseconds(100));
   world.LoseWeights(0);
   for (std::uint32_t piece = 0; piece < 96; ++piece)
-    world.SpoilStage(0, piece);
+    world.CorruptStage(0, piece);
   world.RunFor(Milliseconds(4000));
   CHECK(world.HasLoaded(0, 2));
   CHECK(world.CopiesFromOrigin() - fetched_before < 0.1);
@@ -191,7 +192,7 @@
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   SecondsUntilLoaded(world, 2);
   world.RunFor(Milliseconds(3000));
   const double sent_before = world.CopiesBetweenNodes();
@@ -201,7 +202,7 @@
   {
     world.Restart(node, Milliseconds(900));
     for (std::uint32_t piece = 0; piece < 96; ++piece)
-      world.SpoilStage(node, piece);
+      world.CorruptStage(node, piece);
   }
   world.RunFor(Milliseconds(9000));
   CHECK(world.CopiesBetweenNodes() == sent_before);
@@ -209,14 +210,14 @@
 
   SUBCASE("and switch to the next version as soon as it is named")
   {
-    world.Name(3);
+    world.NameVersion(3);
     CHECK(SecondsUntilLoaded(world, 3) < 8.0);
   }
   SUBCASE("and hold the pieces for their peers a while later")
   {
     world.RunFor(Milliseconds(40000));
-    CHECK(world.At(0).PiecesHeld(2) == 96);
-    CHECK(world.At(11).PiecesHeld(2) == 96);
+    CHECK(world.SidecarAt(0).PiecesHeld(2) == 96);
+    CHECK(world.SidecarAt(11).PiecesHeld(2) == 96);
   }
   CHECK(world.Fault().empty());
 }
@@ -225,7 +226,7 @@
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   SecondsUntilLoaded(world, 2);
   world.RunFor(Milliseconds(3000));
   const double sent_before = world.CopiesBetweenNodes();
@@ -233,7 +234,7 @@
     world.Restart(node, Milliseconds(900));
   world.RunFor(Milliseconds(40000));
   for (std::size_t node = 0; node < world.Count(); ++node)
-    CHECK(world.At(node).PiecesHeld(2) == 96);
+    CHECK(world.SidecarAt(node).PiecesHeld(2) == 96);
   // The manifests and a few single pieces.
   CHECK(world.CopiesBetweenNodes() - sent_before < 0.2 * static_cast<double>(world.Count()));
 }
@@ -242,7 +243,7 @@
 {
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   const std::uint64_t before = world.TicksOf(0);
   SecondsUntilLoaded(world, 2);
   // The push takes about 8 s: wakeups for pieces, reports and timers are expected, but no busy
@@ -256,19 +257,19 @@
   {
     SidecarWorld world = MakeWorld({{{"a", per_hall}, {"b", per_hall}, {"c", per_hall}}});
     world.RunFor(Milliseconds(3000));
-    world.Name(2);
+    world.NameVersion(2);
     world.RunFor(Milliseconds(600));
     world.SetOriginDown(true);
     world.RunFor(Milliseconds(6000));
     const double fetched_before = world.CopiesFromOrigin();
     world.SetOriginDown(false);
     const double seconds = SecondsUntilLoaded(world, 2);
-    MESSAGE("3 halls of " << per_hall << ": loaded by all " << seconds / LINK_SECONDS
+    MESSAGE("3 halls of " << per_hall << ": loaded by all " << seconds / LINK_COPY_SECONDS
                           << " times the link's copy time after the origin's return, "
                           << world.CopiesFromOrigin() - fetched_before
                           << " copies from the origin");
     CHECK(world.Fault().empty());
-    CHECK(seconds < 1.7 * LINK_SECONDS);
+    CHECK(seconds < 1.7 * LINK_COPY_SECONDS);
     CHECK(world.CopiesFromOrigin() - fetched_before < 1.2);
   }
 }
@@ -281,11 +282,11 @@
   options.switch_within = Milliseconds(10000);
   SidecarWorld world = MakeWorld(options);
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(2300));
   world.SetOriginDown(true);
   world.RunFor(Milliseconds(6000));
-  const std::uint32_t missing = 96 - world.At(16).PiecesHeld(2);
+  const std::uint32_t missing = 96 - world.SidecarAt(16).PiecesHeld(2);
   REQUIRE(missing >= 10);
   REQUIRE(missing <= 25);
   const double fetched_before = world.CopiesFromOrigin();
@@ -300,35 +301,36 @@
 {
   // The goal is 1.3 at any hall size. Until it is reached, the time must not grow with the hall
   // size.
-  for (const auto& [per_hall, most] : {std::pair(4, 1.6), std::pair(8, 1.6), std::pair(16, 1.6)})
+  for (const auto& [per_hall, max_copy_times] :
+       {std::pair(4, 1.6), std::pair(8, 1.6), std::pair(16, 1.6)})
   {
     SidecarWorld world = MakeWorld({{{"a", per_hall}, {"b", per_hall}, {"c", per_hall}}});
     world.RunFor(Milliseconds(3000));
     const double fetched_before = world.CopiesFromOrigin();
-    const double across_before = world.CopiesAcross();
-    world.Name(2);
+    const double across_before = world.CrossHallCopies();
+    world.NameVersion(2);
     const Common::TimePoint begin = world.Now();
     world.RunUntil(
         [&]
         {
           for (std::size_t node = 0; node < world.Count(); ++node)
           {
-            if (world.At(node).PiecesHeld(2) < 96)
+            if (world.SidecarAt(node).PiecesHeld(2) < 96)
               return false;
           }
           return true;
         },
         Milliseconds(20000));
     const double seconds = std::chrono::duration<double>(world.Now() - begin).count();
-    MESSAGE("3 halls of " << per_hall << ": held by all after " << seconds / LINK_SECONDS
+    MESSAGE("3 halls of " << per_hall << ": held by all after " << seconds / LINK_COPY_SECONDS
                           << " times the link's copy time, "
                           << world.CopiesFromOrigin() - fetched_before
-                          << " copies from the origin, " << world.CopiesAcross() - across_before
+                          << " copies from the origin, " << world.CrossHallCopies() - across_before
                           << " across halls");
-    CHECK(seconds < most * LINK_SECONDS);
+    CHECK(seconds < max_copy_times * LINK_COPY_SECONDS);
     CHECK(world.CopiesFromOrigin() - fetched_before < 1.1);
     // One copy crosses into each of the two other halls.
-    CHECK(world.CopiesAcross() - across_before < 2.3);
+    CHECK(world.CrossHallCopies() - across_before < 2.3);
   }
 }
 
@@ -341,12 +343,12 @@
   {
     double waiting = 0;
     std::size_t samples = 0;
-    const auto is_held = [&] { return world.At(0).PiecesHeld(2) == 96; };
+    const auto is_held = [&] { return world.SidecarAt(0).PiecesHeld(2) == 96; };
     while (!is_held())
     {
       world.RunFor(Milliseconds(20));
       for (std::size_t node = 0; node < world.Count(); ++node, ++samples)
-        waiting += static_cast<double>(world.WaitingFor(node));
+        waiting += static_cast<double>(world.BytesWaitingFor(node));
     }
     return waiting / static_cast<double>(samples) / 912.5;
   };
@@ -355,7 +357,7 @@
     options.switch_within = within;
     SidecarWorld world = MakeWorld(options);
     world.RunFor(Milliseconds(3000));
-    world.Name(2);
+    world.NameVersion(2);
     const Common::TimePoint begin = world.Now();
     const double wait = mean_wait_ms(world);
     return std::pair(wait, std::chrono::duration<double>(world.Now() - begin).count());
@@ -366,11 +368,11 @@
 
   SUBCASE("and behind more pieces, for a faster copy, when the version is needed soon")
   {
-    const auto [wait_in_haste, seconds_in_haste] = push(Milliseconds(5000));
-    MESSAGE("while the version is needed soon: ", wait_in_haste, " ms and ", seconds_in_haste,
+    const auto [wait_when_urgent, seconds_when_urgent] = push(Milliseconds(5000));
+    MESSAGE("while the version is needed soon: ", wait_when_urgent, " ms and ", seconds_when_urgent,
             " s");
-    CHECK(wait_in_haste > wait);
-    CHECK(seconds_in_haste < seconds);
+    CHECK(wait_when_urgent > wait);
+    CHECK(seconds_when_urgent < seconds);
   }
 }
 
@@ -380,7 +382,7 @@
   world.RunFor(Milliseconds(3000));
   Testing::LogCapture log;
   world.SetOriginDown(true);
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(2000));
   const auto lost = log.Lines("origin.lost").size();
   CHECK(lost >= 1);
--- a/Source/UnitTests/Core/Sidecar/SidecarVersionsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarVersionsTest.cpp
@@ -11,7 +11,7 @@
 TEST_CASE("A version that is named while the previous one is loaded is copied at the same time")
 {
   SidecarWorld world = MakeWorld();
-  NameTwo(world, Milliseconds(4000));
+  NameTwoVersions(world, Milliseconds(4000));
   CHECK(SecondsUntilLoaded(world, 3) < 8.0);
   CHECK(world.CopiesFromOrigin() < 3.0);
   CHECK(world.Fault().empty());
@@ -22,9 +22,9 @@
   SidecarWorld world = MakeWorld();
   world.RunFor(Milliseconds(3000));
   const double fetched_before = world.CopiesFromOrigin();
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(Milliseconds(1500));
-  world.Name(3);
+  world.NameVersion(3);
   CHECK(SecondsUntilLoaded(world, 3) < 8.0);
   CHECK(world.CopiesFromOrigin() - fetched_before < 2.0);
   CHECK(world.Fault().empty());
@@ -33,12 +33,12 @@
 TEST_CASE("A version that is mostly fetched when the next one is named is completed")
 {
   SidecarWorld world = MakeWorld();
-  NameTwo(world, Milliseconds(2500));
+  NameTwoVersions(world, Milliseconds(2500));
   SUBCASE("so engines have it in time when the origin goes away before the next one is complete")
   {
     world.RunFor(Milliseconds(900));
     world.SetOriginDown(true);
-    world.RunFor(BOUND - Milliseconds(3400));
+    world.RunFor(SWITCH_WITHIN - Milliseconds(3400));
     CHECK(world.HaveAllLoaded(2));
   }
   SUBCASE("and the next one is also loaded in time")
@@ -51,7 +51,7 @@
 TEST_CASE("An engine that has not loaded a version when the next one is complete skips it")
 {
   SidecarWorld world = MakeWorld();
-  NameTwo(world, Milliseconds(2500));
+  NameTwoVersions(world, Milliseconds(2500));
   Testing::LogCapture log;
   CHECK(SecondsUntilLoaded(world, 3) < 8.0);
   // An engine that loads both versions is out of service twice.
@@ -64,14 +64,15 @@
 TEST_CASE("The next version is fetched as soon as the origin has sent the previous one")
 {
   SidecarWorld world = MakeWorld();
-  NameTwo(world, Milliseconds(2400));
+  NameTwoVersions(world, Milliseconds(2400));
   // Whether any member of the origin's hall has started with the next version.
-  const auto has_begun = [&](std::size_t node) { return world.At(node).PiecesHeld(3) > 0; };
+  const auto has_begun = [&](std::size_t node) { return world.SidecarAt(node).PiecesHeld(3) > 0; };
   world.RunUntil([&] { return has_begun(4) || has_begun(5) || has_begun(6) || has_begun(7); },
                  Milliseconds(10000));
   // In the meantime, the last members of the hall still receive their last pieces of the previous
   // version.
-  const auto lacks_pieces = [&](std::size_t node) { return world.At(node).PiecesHeld(2) < 96; };
+  const auto lacks_pieces = [&](std::size_t node)
+  { return world.SidecarAt(node).PiecesHeld(2) < 96; };
   CHECK((lacks_pieces(4) || lacks_pieces(5) || lacks_pieces(6) || lacks_pieces(7)));
   CHECK(SecondsUntilLoaded(world, 3) < 8.0);
   CHECK(world.Fault().empty());
@@ -86,11 +87,11 @@
   world.RunFor(Milliseconds(3000));
   const auto seconds_each = [&]
   {
-    return std::chrono::duration<double>(world.OutOfService()).count() /
+    return std::chrono::duration<double>(world.OutOfServiceTime()).count() /
            static_cast<double>(world.Count());
   };
   CHECK(seconds_each() == 0);
-  world.Name(2);
+  world.NameVersion(2);
   SUBCASE("one version: the running requests end, then the weights are loaded")
   {
     SecondsUntilLoaded(world, 2);
@@ -103,7 +104,7 @@
   SUBCASE("two versions within seconds: both are loaded")
   {
     world.RunFor(Milliseconds(3000));
-    world.Name(3);
+    world.NameVersion(3);
     SecondsUntilLoaded(world, 3);
     MESSAGE("two versions: ", seconds_each(), " s each");
     CHECK(seconds_each() < 4.0);
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
@@ -20,26 +20,26 @@
 
 static const Address ORIGIN{"10.9.0.1", 80};
 static constexpr const char* MODEL = "m";
-static constexpr Duration LOCAL_CALL = std::chrono::microseconds(400);
-static constexpr Duration WAY = Milliseconds(1);
+static constexpr Duration LOCAL_CALL_TIME = std::chrono::microseconds(400);
+static constexpr Duration NETWORK_DELAY = Milliseconds(1);
 static constexpr std::size_t PACKET_BYTES = 1500;
 static constexpr std::size_t WINDOW_BYTES = 16384;
-static constexpr std::uint64_t GATEWAY_LINK = 125'000'000;
+static constexpr std::uint64_t GATEWAY_LINK_BYTES_PER_SECOND = 125'000'000;
 static constexpr std::size_t HELLO_BYTES = 500;
-static constexpr Duration WARM_UP = Milliseconds(300);
+static constexpr Duration WARM_UP_TIME = Milliseconds(300);
 // Before a switch deadline, gateways send no requests for this time that an engine might start with
 // old weights.
-static constexpr Duration BOUND_MARGIN = Milliseconds(700);
-static constexpr Duration SERVE_PERIOD = Milliseconds(10);
-static constexpr Duration BRIEFING = Milliseconds(400);
+static constexpr Duration DEADLINE_MARGIN = Milliseconds(700);
+static constexpr Duration SERVICE_SAMPLE_PERIOD = Milliseconds(10);
+static constexpr Duration HELLO_PERIOD = Milliseconds(400);
 // The size of messages that carry no piece.
-static constexpr std::size_t SMALL_BYTES = 120;
+static constexpr std::size_t SMALL_MESSAGE_BYTES = 120;
 
 SidecarWorld::SidecarWorld(const WorldOptions& options) : m_options(options), m_random(options.seed)
 {
   m_origin = MakeLink();
   m_gateway = MakeLink();
-  m_gateway->SetRate(GATEWAY_LINK);
+  m_gateway->SetRate(GATEWAY_LINK_BYTES_PER_SECOND);
   m_named[1] = m_now;
   int number = 0;
   for (const auto& [hall, count] : options.halls)
@@ -49,8 +49,8 @@
       Node node;
       node.hall = hall;
       node.address = {fmt::format("10.1.{}.{}", number / 200, number % 200 + 1), 7700};
-      node.up = MakeLink();
-      node.down = MakeLink();
+      node.uplink = MakeLink();
+      node.downlink = MakeLink();
       node.loaded = 1;
       for (std::uint32_t piece = 0; piece < options.pieces; ++piece)
         node.stage[piece] = PieceOf(1, piece);
@@ -61,9 +61,9 @@
   }
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
     StartNode(node);
-  Brief();
+  SendHellos();
   if (options.run_time > Duration::zero())
-    Serve();
+    SampleService();
 }
 
 void SidecarWorld::StartNode(std::size_t node)
@@ -76,12 +76,12 @@
   options.target = {self.address.host, 8000};
   options.link_bytes_per_second = m_options.link_bytes_per_second;
   options.switch_within = m_options.switch_within;
-  self.core = std::make_unique<Sidecar::Sidecar>(options, m_metrics);
+  self.sidecar = std::make_unique<Sidecar::Sidecar>(options, m_metrics);
   self.tick_due = {};
   Tick(node, self.incarnation);
 }
 
-void SidecarWorld::At(TimePoint at, std::function<void()> run)
+void SidecarWorld::Schedule(TimePoint at, std::function<void()> run)
 {
   m_queue.push({std::max(at, m_now), m_order++, std::move(run)});
 }
@@ -93,14 +93,14 @@
   m_now = end;
 }
 
-bool SidecarWorld::RunUntil(const std::function<bool()>& done, Duration most)
+bool SidecarWorld::RunUntil(const std::function<bool()>& done, Duration max_time)
 {
-  const TimePoint end = m_now + most;
+  const TimePoint end = m_now + max_time;
   while (!done())
   {
     if (m_queue.empty() || m_queue.top().at > end)
       return false;
-    const Timed next = m_queue.top();
+    const ScheduledCall next = m_queue.top();
     m_queue.pop();
     m_now = next.at;
     next.run();
@@ -111,29 +111,29 @@
 void SidecarWorld::Tick(std::size_t node, std::uint64_t incarnation)
 {
   Node& self = m_nodes[node];
-  if (self.incarnation != incarnation || !self.core)
+  if (self.incarnation != incarnation || !self.sidecar)
     return;
   ++self.ticks;
   Sidecar::Actions actions;
-  self.core->OnTick(m_now, &actions);
+  self.sidecar->OnTick(m_now, &actions);
   self.tick_due = {};
-  Carry(node, actions);
+  ExecuteActions(node, actions);
 }
 
 template <typename Event>
-void SidecarWorld::Feed(std::size_t node, Event event)
+void SidecarWorld::Deliver(std::size_t node, Event event)
 {
-  if (!m_nodes[node].core)
+  if (!m_nodes[node].sidecar)
     return;
   Sidecar::Actions actions;
-  m_nodes[node].core->Handle(event, m_now, &actions);
-  Carry(node, actions);
+  m_nodes[node].sidecar->Handle(event, m_now, &actions);
+  ExecuteActions(node, actions);
 }
 
-void SidecarWorld::Carry(std::size_t node, Sidecar::Actions& actions)
+void SidecarWorld::ExecuteActions(std::size_t node, Sidecar::Actions& actions)
 {
   for (const Sidecar::Action& action : actions)
-    std::visit([&](const auto& typed) { Do(node, typed); }, action);
+    std::visit([&](const auto& typed) { Execute(node, typed); }, action);
   ScheduleTick(node);
 }
 
@@ -142,17 +142,17 @@
 {
   Node& self = m_nodes[node];
   const Duration wait =
-      std::max<Duration>(self.core->NextWakeup(m_now) - m_now, std::chrono::microseconds(50));
+      std::max<Duration>(self.sidecar->NextWakeup(m_now) - m_now, std::chrono::microseconds(50));
   const TimePoint next = m_now + std::min<Duration>(wait, Milliseconds(100));
   if (next >= self.tick_due && self.tick_due > m_now)
     return;
   self.tick_due = next;
-  At(next,
-     [this, node, next, incarnation = self.incarnation]
-     {
-       if (m_nodes[node].tick_due == next)
-         Tick(node, incarnation);
-     });
+  Schedule(next,
+           [this, node, next, incarnation = self.incarnation]
+           {
+             if (m_nodes[node].tick_due == next)
+               Tick(node, incarnation);
+           });
 }
 
 // --- weights ---
@@ -177,10 +177,10 @@
   return Common::MakeBytes(Distribution::EncodeManifest(manifest));
 }
 
-void SidecarWorld::Name(std::uint64_t version)
+void SidecarWorld::NameVersion(std::uint64_t version)
 {
   m_named[version] = m_now;
-  Brief();
+  SendHellos();
 }
 
 Mesh::Hello SidecarWorld::MakeHello() const
@@ -191,7 +191,7 @@
                 MODEL,
                 m_options.pieces,
                 m_options.piece_bytes,
-                std::chrono::duration_cast<Milliseconds>(WARM_UP),
+                std::chrono::duration_cast<Milliseconds>(WARM_UP_TIME),
                 ORIGIN,
                 m_options.origin_hall};
   hello.clock = Mesh::ClockOf(m_now);
@@ -203,114 +203,115 @@
   return hello;
 }
 
-void SidecarWorld::Brief()
+void SidecarWorld::SendHellos()
 {
   const Mesh::Hello hello = MakeHello();
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
   {
-    if (!m_nodes[node].core || m_nodes[node].is_cut)
+    if (!m_nodes[node].sidecar || m_nodes[node].is_cut_off)
       continue;
     const Mesh::Sender gateway{
         "gw-" + m_nodes[node].hall, m_nodes[node].hall, {"10.8.0.1", 7700}, 1};
-    Transfer(m_next_connection++, *m_gateway, *m_nodes[node].down, HELLO_BYTES,
+    Transfer(m_next_connection++, *m_gateway, *m_nodes[node].downlink, HELLO_BYTES,
              [this, node, gateway, hello, incarnation = m_nodes[node].incarnation]
              { Receive(node, incarnation, gateway, hello); });
   }
-  At(m_now + BRIEFING, [this] { Brief(); });
+  Schedule(m_now + HELLO_PERIOD, [this] { SendHellos(); });
 }
 
 void SidecarWorld::Receive(std::size_t node, std::uint64_t incarnation, const Mesh::Sender& from,
                            const Mesh::Message& message)
 {
   Node& self = m_nodes[node];
-  if (self.incarnation != incarnation || self.is_cut || !self.core)
+  if (self.incarnation != incarnation || self.is_cut_off || !self.sidecar)
     return;
   Sidecar::Actions actions;
-  self.core->OnMessage(from, message, m_now, &actions);
-  Carry(node, actions);
+  self.sidecar->OnMessage(from, message, m_now, &actions);
+  ExecuteActions(node, actions);
 }
 
 // --- the engine ---
 
-bool SidecarWorld::TakesRequests(const Node& node) const
+bool SidecarWorld::AcceptsRequests(const Node& node) const
 {
-  const bool is_too_old =
-      std::ranges::any_of(m_named,
-                          [&](const auto& named)
-                          {
-                            return node.loaded < named.first &&
-                                   m_now >= named.second + m_options.switch_within - BOUND_MARGIN;
-                          });
+  const bool is_too_old = std::ranges::any_of(
+      m_named,
+      [&](const auto& named)
+      {
+        return node.loaded < named.first &&
+               m_now >= named.second + m_options.switch_within - DEADLINE_MARGIN;
+      });
   return !node.is_busy && node.loaded > 0 && !is_too_old;
 }
 
-void SidecarWorld::Serve()
+void SidecarWorld::SampleService()
 {
   for (Node& node : m_nodes)
   {
-    if (TakesRequests(node))
-      node.last_taken = m_now;
+    if (AcceptsRequests(node))
+      node.last_accepted = m_now;
     else
-      m_out_of_service += SERVE_PERIOD;
+      m_out_of_service += SERVICE_SAMPLE_PERIOD;
   }
-  At(m_now + SERVE_PERIOD, [this] { Serve(); });
+  Schedule(m_now + SERVICE_SAMPLE_PERIOD, [this] { SampleService(); });
 }
 
-void SidecarWorld::Do(std::size_t node, const Sidecar::ReadReport& /*read*/)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::ReadReport& /*read*/)
 {
-  At(m_now + LOCAL_CALL,
-     [this, node, incarnation = m_nodes[node].incarnation]
-     {
-       const Node& self = m_nodes[node];
-       if (self.incarnation != incarnation)
-         return;
-       Sidecar::EngineReport report;
-       report.model = MODEL;
-       report.weights_version = self.is_busy ? 0 : self.loaded;
-       report.is_busy = self.is_busy;
-       report.orders = self.orders;
-       const bool has_run_out = m_now - self.last_taken >= m_options.run_time;
-       report.running = m_options.run_time == Duration::zero() || !has_run_out ? 4 : 0;
-       Feed(node, Sidecar::ReportRead{report});
-     });
+  Schedule(m_now + LOCAL_CALL_TIME,
+           [this, node, incarnation = m_nodes[node].incarnation]
+           {
+             const Node& self = m_nodes[node];
+             if (self.incarnation != incarnation)
+               return;
+             Sidecar::EngineReport report;
+             report.model = MODEL;
+             report.weights_version = self.is_busy ? 0 : self.loaded;
+             report.is_busy = self.is_busy;
+             report.orders = self.orders;
+             const bool have_requests_ended = m_now - self.last_accepted >= m_options.run_time;
+             report.running =
+                 m_options.run_time == Duration::zero() || !have_requests_ended ? 4 : 0;
+             Deliver(node, Sidecar::ReportRead{report});
+           });
 }
 
-void SidecarWorld::Do(std::size_t node, const Sidecar::ListStaged& /*list*/)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::ListStaged& /*list*/)
 {
-  At(m_now + LOCAL_CALL,
-     [this, node, incarnation = m_nodes[node].incarnation]
-     {
-       if (m_nodes[node].incarnation != incarnation)
-         return;
-       std::vector<std::uint32_t> held;
-       for (const auto& [piece, data] : m_nodes[node].stage)
-         held.push_back(piece);
-       Feed(node, Sidecar::StagedListed{held});
-     });
+  Schedule(m_now + LOCAL_CALL_TIME,
+           [this, node, incarnation = m_nodes[node].incarnation]
+           {
+             if (m_nodes[node].incarnation != incarnation)
+               return;
+             std::vector<std::uint32_t> held;
+             for (const auto& [piece, data] : m_nodes[node].stage)
+               held.push_back(piece);
+             Deliver(node, Sidecar::StagedListed{held});
+           });
 }
 
-void SidecarWorld::Do(std::size_t node, const Sidecar::ReadStaged& read)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::ReadStaged& read)
 {
-  At(m_now + LOCAL_CALL,
-     [this, node, piece = read.piece, incarnation = m_nodes[node].incarnation]
-     {
-       if (m_nodes[node].incarnation == incarnation)
-         Feed(node, Sidecar::StagedRead{piece, m_nodes[node].stage[piece]});
-     });
+  Schedule(m_now + LOCAL_CALL_TIME,
+           [this, node, piece = read.piece, incarnation = m_nodes[node].incarnation]
+           {
+             if (m_nodes[node].incarnation == incarnation)
+               Deliver(node, Sidecar::StagedRead{piece, m_nodes[node].stage[piece]});
+           });
 }
 
-void SidecarWorld::Do(std::size_t node, const Sidecar::StagePiece& stage)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::StagePiece& stage)
 {
-  At(m_now + LOCAL_CALL,
-     [this, node, stage, incarnation = m_nodes[node].incarnation]
-     {
-       m_nodes[node].stage[stage.piece] = stage.data;
-       if (m_nodes[node].incarnation == incarnation)
-         Feed(node, Sidecar::PieceStaged{stage.piece, std::monostate()});
-     });
+  Schedule(m_now + LOCAL_CALL_TIME,
+           [this, node, stage, incarnation = m_nodes[node].incarnation]
+           {
+             m_nodes[node].stage[stage.piece] = stage.data;
+             if (m_nodes[node].incarnation == incarnation)
+               Deliver(node, Sidecar::PieceStaged{stage.piece, std::monostate()});
+           });
 }
 
-void SidecarWorld::Do(std::size_t node, const Sidecar::StartWeights& start)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::StartWeights& start)
 {
   Node& self = m_nodes[node];
   for (std::uint32_t piece = 0; piece < m_options.pieces; ++piece)
@@ -322,18 +323,18 @@
   }
   self.is_busy = true;
   ++self.orders;
-  At(std::max(m_now, self.last_taken + m_options.run_time) + WARM_UP,
-     [this, node, version = start.version]
-     {
-       m_nodes[node].is_busy = false;
-       m_nodes[node].loaded = version;
-     });
-  At(m_now + LOCAL_CALL,
-     [this, node, version = start.version, incarnation = self.incarnation]
-     {
-       if (m_nodes[node].incarnation == incarnation)
-         Feed(node, Sidecar::StartAnswered{version, std::monostate()});
-     });
+  Schedule(std::max(m_now, self.last_accepted + m_options.run_time) + WARM_UP_TIME,
+           [this, node, version = start.version]
+           {
+             m_nodes[node].is_busy = false;
+             m_nodes[node].loaded = version;
+           });
+  Schedule(m_now + LOCAL_CALL_TIME,
+           [this, node, version = start.version, incarnation = self.incarnation]
+           {
+             if (m_nodes[node].incarnation == incarnation)
+               Deliver(node, Sidecar::StartAnswered{version, std::monostate()});
+           });
 }
 
 // --- links ---
@@ -342,7 +343,7 @@
 {
   return std::make_unique<QueueLink>(m_options.link_bytes_per_second,
                                      [this](TimePoint at, std::function<void()> run)
-                                     { At(at, std::move(run)); });
+                                     { Schedule(at, std::move(run)); });
 }
 
 void SidecarWorld::Transfer(std::uint64_t connection, QueueLink& from, QueueLink& to,
@@ -370,7 +371,7 @@
     const auto received = [this, connection, packet]
     {
       if (packet.done)
-        At(m_now + WAY, packet.done);
+        Schedule(m_now + NETWORK_DELAY, packet.done);
       m_connections[connection].in_flight -= packet.bytes;
       Advance(connection);
     };
@@ -379,66 +380,66 @@
   }
 }
 
-void SidecarWorld::Do(std::size_t node, const Sidecar::FetchFromOrigin& fetch)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::FetchFromOrigin& fetch)
 {
   const std::uint64_t incarnation_now = m_nodes[node].incarnation;
   const auto fail = [this, node, id = fetch.id, incarnation = incarnation_now](ErrorKind kind)
   {
-    if (m_nodes[node].incarnation == incarnation && !m_nodes[node].is_cut)
-      Feed(node, Sidecar::OriginFetched{id, Error{kind, "the origin failed"}});
+    if (m_nodes[node].incarnation == incarnation && !m_nodes[node].is_cut_off)
+      Deliver(node, Sidecar::OriginFetched{id, Error{kind, "the origin failed"}});
   };
   if (m_is_origin_down)
-    return At(m_now + 2 * WAY, [fail] { fail(ErrorKind::Unreachable); });
+    return Schedule(m_now + 2 * NETWORK_DELAY, [fail] { fail(ErrorKind::Unreachable); });
   const bool is_manifest = fetch.piece == Distribution::MANIFEST_PIECE;
   Bytes data = is_manifest ? ManifestOf(fetch.version) : PieceOf(fetch.version, fetch.piece);
-  const std::uint64_t asked_newest = m_named.rbegin()->first;
+  const std::uint64_t newest_at_request = m_named.rbegin()->first;
   m_origin_bytes += data->size();
-  if (std::uniform_real_distribution<double>(0, 1)(m_random) < m_spoilt_share)
+  if (std::uniform_real_distribution<double>(0, 1)(m_random) < m_corrupt_share)
   {
-    std::string spoilt = *data;
+    std::string corrupted = *data;
     // A digest in a manifest is changed so that it stays readable; in a piece, any byte is changed.
-    const std::size_t at = spoilt.find("\"pieces\"");
-    spoilt[is_manifest ? at + 15 : 3] = is_manifest ? '0' : 'X';
-    data = Common::MakeBytes(std::move(spoilt));
+    const std::size_t at = corrupted.find("\"pieces\"");
+    corrupted[is_manifest ? at + 15 : 3] = is_manifest ? '0' : 'X';
+    data = Common::MakeBytes(std::move(corrupted));
   }
-  Transfer(m_next_connection++, *m_origin, *m_nodes[node].down, data->size(),
-           [this, node, id = fetch.id, data, incarnation = incarnation_now, asked_newest, fail,
+  Transfer(m_next_connection++, *m_origin, *m_nodes[node].downlink, data->size(),
+           [this, node, id = fetch.id, data, incarnation = incarnation_now, newest_at_request, fail,
             version = fetch.version]
            {
              if (m_is_origin_down)
                return fail(ErrorKind::Unreachable);
-             if (version + 1 < asked_newest)
+             if (version + 1 < newest_at_request)
                return fail(ErrorKind::NotFound);
-             if (m_nodes[node].incarnation != incarnation || m_nodes[node].is_cut)
+             if (m_nodes[node].incarnation != incarnation || m_nodes[node].is_cut_off)
                return;
-             Feed(node, Sidecar::OriginFetched{id, data});
+             Deliver(node, Sidecar::OriginFetched{id, data});
            });
 }
 
-void SidecarWorld::Do(std::size_t /*node*/, const Sidecar::CancelOriginFetch& /*cancel*/) {}
+void SidecarWorld::Execute(std::size_t /*node*/, const Sidecar::CancelOriginFetch& /*cancel*/) {}
 
-void SidecarWorld::Do(std::size_t node, const Sidecar::Tell& tell)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::Tell& send)
 {
-  const auto found = m_by_address.find(tell.to);
+  const auto found = m_by_address.find(send.to);
   if (found == m_by_address.end())
     return;
   const std::size_t receiver = found->second;
   Node& from = m_nodes[node];
   Node& to = m_nodes[receiver];
-  if (from.is_cut || to.is_cut)
+  if (from.is_cut_off || to.is_cut_off)
     return;
-  std::size_t bytes = SMALL_BYTES;
-  if (const auto* piece = std::get_if<Mesh::TellPiece>(&tell.message);
+  std::size_t bytes = SMALL_MESSAGE_BYTES;
+  if (const auto* piece = std::get_if<Mesh::TellPiece>(&send.message);
       piece && Common::Succeeded(piece->result))
   {
     bytes += std::get<Bytes>(piece->result)->size();
     m_sent_bytes += bytes;
     if (from.hall != to.hall)
-      m_across_bytes += bytes;
+      m_cross_hall_bytes += bytes;
   }
   const Mesh::Sender sender{from.address.ToString(), from.hall, from.address, from.incarnation};
-  Transfer(node * m_nodes.size() + receiver, *from.up, *to.down, bytes,
-           [this, receiver, sender, message = tell.message, incarnation = to.incarnation]
+  Transfer(node * m_nodes.size() + receiver, *from.uplink, *to.downlink, bytes,
+           [this, receiver, sender, message = send.message, incarnation = to.incarnation]
            { Receive(receiver, incarnation, sender, message); });
 }
 
@@ -461,7 +462,7 @@
   return true;
 }
 
-std::size_t SidecarWorld::Serving() const
+std::size_t SidecarWorld::ServingEngines() const
 {
   return static_cast<std::size_t>(std::ranges::count_if(
       m_nodes, [](const Node& node) { return !node.is_busy && node.loaded > 0; }));
@@ -477,25 +478,25 @@
   return static_cast<double>(m_sent_bytes) / m_options.piece_bytes / m_options.pieces;
 }
 
-double SidecarWorld::CopiesAcross() const
+double SidecarWorld::CrossHallCopies() const
 {
-  return static_cast<double>(m_across_bytes) / m_options.piece_bytes / m_options.pieces;
+  return static_cast<double>(m_cross_hall_bytes) / m_options.piece_bytes / m_options.pieces;
 }
 
 void SidecarWorld::SetLink(std::size_t node, std::uint64_t bytes_per_second)
 {
-  m_nodes[node].up->SetRate(bytes_per_second);
-  m_nodes[node].down->SetRate(bytes_per_second);
+  m_nodes[node].uplink->SetRate(bytes_per_second);
+  m_nodes[node].downlink->SetRate(bytes_per_second);
 }
 
 void SidecarWorld::Restart(std::size_t node, Duration after)
 {
-  m_nodes[node].core.reset();
+  m_nodes[node].sidecar.reset();
   ++m_nodes[node].incarnation;
-  At(m_now + after, [this, node] { StartNode(node); });
+  Schedule(m_now + after, [this, node] { StartNode(node); });
 }
 
-void SidecarWorld::SpoilStage(std::size_t node, std::uint32_t piece)
+void SidecarWorld::CorruptStage(std::size_t node, std::uint32_t piece)
 {
   m_nodes[node].stage[piece] = Common::MakeBytes("spoilt");
 }
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.h
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.h
@@ -39,29 +39,32 @@
   explicit SidecarWorld(const WorldOptions& options);
 
   // Names new weights to all sidecars, as a gateway in each hall does.
-  void Name(std::uint64_t version);
+  void NameVersion(std::uint64_t version);
   void RunFor(Common::Duration time);
   // Runs until `done` returns true. Returns false if this does not happen in time.
-  bool RunUntil(const std::function<bool()>& done, Common::Duration most);
+  bool RunUntil(const std::function<bool()>& done, Common::Duration max_time);
 
   std::size_t Count() const { return m_nodes.size(); }
   bool HasLoaded(std::size_t node, std::uint64_t version) const;
   // Whether all engines except the listed ones have loaded the version.
   bool HaveAllLoaded(std::uint64_t version, const std::vector<std::size_t>& except = {}) const;
   // Number of engines that can answer requests at this moment, with any version of the weights.
-  std::size_t Serving() const;
+  std::size_t ServingEngines() const;
   // The time for which engines did not answer requests, summed over all engines: they were loading
   // weights, or their weights were too old.
-  Common::Duration OutOfService() const { return m_out_of_service; }
+  Common::Duration OutOfServiceTime() const { return m_out_of_service; }
   double CopiesFromOrigin() const;
   // Bytes of pieces that crossed from one hall to another, in copies.
-  double CopiesAcross() const;
+  double CrossHallCopies() const;
   Common::TimePoint Now() const { return m_now; }
   // Describes the fault if an engine loaded weights that were not complete and correct; otherwise
   // empty.
   const std::string& Fault() const { return m_fault; }
   // Bytes that wait for the link to the node.
-  std::size_t WaitingFor(std::size_t node) const { return m_nodes[node].down->BytesWaiting(); }
+  std::size_t BytesWaitingFor(std::size_t node) const
+  {
+    return m_nodes[node].downlink->BytesWaiting();
+  }
 
   // --- injected faults ---
   void SetLink(std::size_t node, std::uint64_t bytes_per_second);
@@ -69,18 +72,18 @@
   // stays.
   void Restart(std::size_t node, Common::Duration after);
   // While a node is cut off, messages to and from it are lost.
-  void SetCut(std::size_t node, bool is_cut) { m_nodes[node].is_cut = is_cut; }
+  void SetCutOff(std::size_t node, bool is_cut_off) { m_nodes[node].is_cut_off = is_cut_off; }
   // Corrupts this share of the origin's answers.
-  void SpoilOrigin(double share) { m_spoilt_share = share; }
+  void CorruptOrigin(double share) { m_corrupt_share = share; }
   // While the origin is down, it refuses connections and breaks the open ones.
   void SetOriginDown(bool is_down) { m_is_origin_down = is_down; }
-  void SpoilStage(std::size_t node, std::uint32_t piece);
+  void CorruptStage(std::size_t node, std::uint32_t piece);
   // The engine restarts without weights.
   void LoseWeights(std::size_t node) { m_nodes[node].loaded = 0; }
   // Bytes of pieces that sidecars have sent to each other, in copies.
   double CopiesBetweenNodes() const;
 
-  Sidecar::Sidecar& At(std::size_t node) { return *m_nodes[node].core; }
+  Sidecar::Sidecar& SidecarAt(std::size_t node) { return *m_nodes[node].sidecar; }
   std::uint64_t TicksOf(std::size_t node) const { return m_nodes[node].ticks; }
 
 private:
@@ -88,11 +91,11 @@
   {
     std::string hall;
     Common::Address address;
-    std::unique_ptr<Sidecar::Sidecar> core;
+    std::unique_ptr<Sidecar::Sidecar> sidecar;
     std::uint64_t incarnation = 0;
-    std::unique_ptr<QueueLink> up;
-    std::unique_ptr<QueueLink> down;
-    bool is_cut = false;
+    std::unique_ptr<QueueLink> uplink;
+    std::unique_ptr<QueueLink> downlink;
+    bool is_cut_off = false;
     std::uint64_t ticks = 0;
     Common::TimePoint tick_due{};
     // The state of the engine.
@@ -100,7 +103,7 @@
     std::uint64_t loaded = 0;
     bool is_busy = false;
     std::uint64_t orders = 0;
-    Common::TimePoint last_taken{};
+    Common::TimePoint last_accepted{};
   };
 
   // A connection that sends bytes in one direction, with at most one window of bytes that have not
@@ -118,42 +121,42 @@
     std::size_t in_flight = 0;
   };
 
-  struct Timed
+  struct ScheduledCall
   {
     Common::TimePoint at;
     std::uint64_t order;
     std::function<void()> run;
-    bool operator>(const Timed& other) const
+    bool operator>(const ScheduledCall& other) const
     {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
 
   // Connections to the origin have numbers above the numbers of connections between sidecars.
-  static constexpr std::uint64_t FIRST_OF_ORIGIN = 1'000'000;
+  static constexpr std::uint64_t FIRST_ORIGIN_CONNECTION = 1'000'000;
 
-  void At(Common::TimePoint at, std::function<void()> run);
+  void Schedule(Common::TimePoint at, std::function<void()> run);
   void StartNode(std::size_t node);
   void Tick(std::size_t node, std::uint64_t incarnation);
   void ScheduleTick(std::size_t node);
-  void Brief();
+  void SendHellos();
   // Whether the engine would start a request now.
-  bool TakesRequests(const Node& node) const;
-  void Serve();
+  bool AcceptsRequests(const Node& node) const;
+  void SampleService();
   void Receive(std::size_t node, std::uint64_t incarnation, const Mesh::Sender& from,
                const Mesh::Message& message);
   template <typename Event>
-  void Feed(std::size_t node, Event event);
-  void Carry(std::size_t node, Sidecar::Actions& actions);
-  void Do(std::size_t node, const Sidecar::ReadReport& read);
-  void Do(std::size_t /*node*/, const Sidecar::ReadIdentity& /*read*/) {}
-  void Do(std::size_t node, const Sidecar::ListStaged& list);
-  void Do(std::size_t node, const Sidecar::ReadStaged& read);
-  void Do(std::size_t node, const Sidecar::StagePiece& stage);
-  void Do(std::size_t node, const Sidecar::StartWeights& start);
-  void Do(std::size_t node, const Sidecar::FetchFromOrigin& fetch);
-  void Do(std::size_t node, const Sidecar::CancelOriginFetch& cancel);
-  void Do(std::size_t node, const Sidecar::Tell& tell);
+  void Deliver(std::size_t node, Event event);
+  void ExecuteActions(std::size_t node, Sidecar::Actions& actions);
+  void Execute(std::size_t node, const Sidecar::ReadReport& read);
+  void Execute(std::size_t /*node*/, const Sidecar::ReadIdentity& /*read*/) {}
+  void Execute(std::size_t node, const Sidecar::ListStaged& list);
+  void Execute(std::size_t node, const Sidecar::ReadStaged& read);
+  void Execute(std::size_t node, const Sidecar::StagePiece& stage);
+  void Execute(std::size_t node, const Sidecar::StartWeights& start);
+  void Execute(std::size_t node, const Sidecar::FetchFromOrigin& fetch);
+  void Execute(std::size_t node, const Sidecar::CancelOriginFetch& cancel);
+  void Execute(std::size_t node, const Sidecar::Tell& send);
   std::unique_ptr<QueueLink> MakeLink();
   // Sends bytes over both links; `done` runs when the last byte has arrived.
   void Transfer(std::uint64_t connection, QueueLink& from, QueueLink& to, std::size_t bytes,
@@ -167,19 +170,19 @@
   WorldOptions m_options;
   Common::TimePoint m_now{std::chrono::hours(1)};
   std::uint64_t m_order = 0;
-  std::priority_queue<Timed, std::vector<Timed>, std::greater<>> m_queue;
+  std::priority_queue<ScheduledCall, std::vector<ScheduledCall>, std::greater<>> m_queue;
   Common::Metrics m_metrics;
   std::vector<Node> m_nodes;
   std::map<Common::Address, std::size_t> m_by_address;
   std::map<std::uint64_t, Connection> m_connections;
-  std::uint64_t m_next_connection = FIRST_OF_ORIGIN;
+  std::uint64_t m_next_connection = FIRST_ORIGIN_CONNECTION;
   std::unique_ptr<QueueLink> m_origin;
   // The link of the gateways.
   std::unique_ptr<QueueLink> m_gateway;
-  double m_spoilt_share = 0;
+  double m_corrupt_share = 0;
   bool m_is_origin_down = false;
   std::uint64_t m_origin_bytes = 0;
-  std::uint64_t m_across_bytes = 0;
+  std::uint64_t m_cross_hall_bytes = 0;
   std::uint64_t m_sent_bytes = 0;
   std::map<std::uint64_t, Common::TimePoint> m_named;
   std::mt19937_64 m_random;
--- a/Source/UnitTests/Core/Sidecar/SidecarWorldFixture.h
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorldFixture.h
@@ -10,10 +10,10 @@
 {
 using Common::Milliseconds;
 
-inline constexpr Milliseconds BOUND = Milliseconds(8000);
+inline constexpr Milliseconds SWITCH_WITHIN = Milliseconds(8000);
 // The time in seconds that the link alone needs for one copy: 96 x 24,576 bytes at 912,500 bytes a
 // second.
-inline constexpr double LINK_SECONDS = 2.59;
+inline constexpr double LINK_COPY_SECONDS = 2.59;
 
 inline double SecondsUntilLoaded(SidecarWorld& world, std::uint64_t version,
                                  const std::vector<std::size_t>& except = {})
@@ -32,11 +32,11 @@
 
 // Names version 2 once the sidecars have found the pieces that they hold, and version 3 after the
 // gap.
-inline void NameTwo(SidecarWorld& world, Common::Duration gap)
+inline void NameTwoVersions(SidecarWorld& world, Common::Duration gap)
 {
   world.RunFor(Milliseconds(3000));
-  world.Name(2);
+  world.NameVersion(2);
   world.RunFor(gap);
-  world.Name(3);
+  world.NameVersion(3);
 }
 } // namespace Holdpost::Testing
--- a/Source/UnitTests/Core/Sidecar/StageTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/StageTest.cpp
@@ -55,27 +55,28 @@
   std::unique_ptr<Distribution::Swarm> swarm;
 };
 
-// Executes the keeper's calls on an engine whose stage is a map.
-void Serve(StageKeeper& keeper, const Weights& weights, std::map<std::uint32_t, Bytes>& stage)
+// Executes the manager's calls on an engine whose stage is a map.
+void ExecuteCalls(StageManager& manager, const Weights& weights,
+                  std::map<std::uint32_t, Bytes>& stage)
 {
   for (int turn = 0; turn < 100; ++turn)
   {
     StageActions actions;
-    keeper.OnTick(*weights.swarm, START, &actions);
+    manager.OnTick(*weights.swarm, START, &actions);
     for (const StageAction& action : actions)
     {
       if (const auto* put = std::get_if<StagePiece>(&action))
       {
         stage[put->piece] = put->data;
-        keeper.OnStaged({put->piece, std::monostate()}, START);
+        manager.OnStaged({put->piece, std::monostate()}, START);
       }
       if (const auto* get = std::get_if<ReadStaged>(&action))
       {
         const auto found = stage.find(get->piece);
-        keeper.OnRead({get->piece, found == stage.end()
-                                       ? Common::Result<Bytes>(Error{ErrorKind::NotFound, ""})
-                                       : Common::Result<Bytes>(found->second)},
-                      *weights.swarm, START);
+        manager.OnRead({get->piece, found == stage.end()
+                                        ? Common::Result<Bytes>(Error{ErrorKind::NotFound, ""})
+                                        : Common::Result<Bytes>(found->second)},
+                       *weights.swarm, START);
       }
     }
     if (actions.empty())
@@ -87,40 +88,40 @@
 TEST_CASE("The stage is filled and verified by reading it back")
 {
   const Weights weights;
-  StageKeeper keeper;
+  StageManager manager;
   std::map<std::uint32_t, Bytes> stage;
-  keeper.Want("m", 2, PIECES);
-  Serve(keeper, weights, stage);
-  CHECK(keeper.IsStaged());
-  CHECK(keeper.ProvenSince().has_value());
+  manager.Want("m", 2, PIECES);
+  ExecuteCalls(manager, weights, stage);
+  CHECK(manager.IsStaged());
+  CHECK(manager.VerifiedSince().has_value());
 
   SUBCASE("a piece that is corrupted on the stage is detected by the next verification and staged "
           "again")
   {
     stage[2] = Common::MakeBytes("spoilt");
-    keeper.ProveAgain();
-    CHECK_FALSE(keeper.ProvenSince().has_value());
-    Serve(keeper, weights, stage);
-    CHECK(keeper.ProvenSince().has_value());
+    manager.VerifyAgain();
+    CHECK_FALSE(manager.VerifiedSince().has_value());
+    ExecuteCalls(manager, weights, stage);
+    CHECK(manager.VerifiedSince().has_value());
     CHECK(*stage[2] == *weights.pieces[2]);
   }
   SUBCASE("another version starts from nothing: no piece of it is staged")
   {
-    keeper.Want("m", 3, PIECES);
-    CHECK_FALSE(keeper.IsStaged());
-    CHECK_FALSE(keeper.ProvenSince().has_value());
+    manager.Want("m", 3, PIECES);
+    CHECK_FALSE(manager.IsStaged());
+    CHECK_FALSE(manager.VerifiedSince().has_value());
   }
 }
 
 TEST_CASE("Pieces that are already on the stage are not staged again, but verified")
 {
   const Weights weights;
-  StageKeeper keeper;
-  keeper.Want("m", 1, PIECES);
+  StageManager manager;
+  manager.Want("m", 1, PIECES);
   for (std::uint32_t piece = 0; piece < PIECES; ++piece)
-    keeper.OnFound(piece);
+    manager.OnFound(piece);
   StageActions actions;
-  keeper.OnTick(*weights.swarm, START, &actions);
+  manager.OnTick(*weights.swarm, START, &actions);
   CHECK(Testing::Only<StagePiece>(actions).empty());
   CHECK_FALSE(Take<ReadStaged>(actions).empty());
 }
@@ -128,16 +129,16 @@
 TEST_CASE("A piece that the engine did not accept is staged again after a pause")
 {
   const Weights weights;
-  StageKeeper keeper;
-  keeper.Want("m", 1, PIECES);
+  StageManager manager;
+  manager.Want("m", 1, PIECES);
   StageActions actions;
-  keeper.OnTick(*weights.swarm, START, &actions);
+  manager.OnTick(*weights.swarm, START, &actions);
   const auto first = Take<StagePiece>(actions);
   REQUIRE_FALSE(first.empty());
-  keeper.OnStaged({first[0].piece, Error{ErrorKind::Unreachable, ""}}, START);
-  keeper.OnTick(*weights.swarm, START, &actions);
+  manager.OnStaged({first[0].piece, Error{ErrorKind::Unreachable, ""}}, START);
+  manager.OnTick(*weights.swarm, START, &actions);
   CHECK(Take<StagePiece>(actions).empty());
-  keeper.OnTick(*weights.swarm, START + Milliseconds(150), &actions);
+  manager.OnTick(*weights.swarm, START + Milliseconds(150), &actions);
   CHECK(Take<StagePiece>(actions).at(0).piece == first[0].piece);
 }
 
@@ -214,16 +215,17 @@
   std::set<std::size_t> ranks;
   for (const Mesh::Peer& peer : peers)
   {
-    const std::size_t rank = SwitchRank(peer.address, peers, 7);
+    const std::size_t rank = SwitchOrderRank(peer.address, peers, 7);
     CHECK(ranks.insert(rank).second);
-    const Common::TimePoint at = PlannedSwitch(window, rank, peers.size());
+    const Common::TimePoint at = PlannedSwitchTime(window, rank, peers.size());
     CHECK(at >= START + Milliseconds(3500));
     CHECK(at <= START + Milliseconds(7000));
   }
-  CHECK(PlannedSwitch(window, 5, 20) < PlannedSwitch(window, 6, 20));
+  CHECK(PlannedSwitchTime(window, 5, 20) < PlannedSwitchTime(window, 6, 20));
   // Another version results in another order, so that no target is always the last.
   bool differs = false;
   for (const Mesh::Peer& peer : peers)
-    differs = differs || SwitchRank(peer.address, peers, 7) != SwitchRank(peer.address, peers, 8);
+    differs = differs ||
+              SwitchOrderRank(peer.address, peers, 7) != SwitchOrderRank(peer.address, peers, 8);
   CHECK(differs);
 }
