--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -59,7 +59,7 @@
   Common::Result<Common::Bytes> result;
 };
 
-// Sends a message to a peer or gateway; messages with `is_small` may be lost.
+// Sends a message to a peer or gateway. A message with `is_small` set may be lost.
 struct Tell
 {
   Common::Address to;
--- a/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
@@ -98,7 +98,7 @@
     max_waiting_bytes = std::max(max_waiting_bytes, world.BytesWaitingFor(NARROW_NODE));
   }
   CHECK(max_waiting_bytes < 3 * 24576);
-  // The link carries 16 pieces in this time, and the announcements of the pieces that peers hold.
+  // In this time the link carries 16 pieces; peers' announcements of their pieces share the link.
   CHECK(held(3) >= 4);
 }
 
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
@@ -27,8 +27,8 @@
 static constexpr std::uint64_t GATEWAY_LINK_BYTES_PER_SECOND = 125'000'000;
 static constexpr std::size_t HELLO_BYTES = 500;
 static constexpr Duration WARM_UP_TIME = Milliseconds(300);
-// Before a switch deadline, gateways send no requests for this time that an engine might start with
-// old weights.
+// For this time before a switch deadline, gateways send no requests to engines with old weights,
+// because such a request might start only after the deadline.
 static constexpr Duration DEADLINE_MARGIN = Milliseconds(700);
 static constexpr Duration SERVICE_SAMPLE_PERIOD = Milliseconds(10);
 static constexpr Duration HELLO_PERIOD = Milliseconds(400);
@@ -397,7 +397,8 @@
   if (std::uniform_real_distribution<double>(0, 1)(m_random) < m_corrupt_share)
   {
     std::string corrupted = *data;
-    // A digest in a manifest is changed so that it stays readable; in a piece, any byte is changed.
+    // In a manifest, a digest is changed, so that the manifest can still be parsed. In a piece, one
+    // byte is changed.
     const std::size_t at = corrupted.find("\"pieces\"");
     corrupted[is_manifest ? at + 15 : 3] = is_manifest ? '0' : 'X';
     data = Common::MakeBytes(std::move(corrupted));
