--- a/Source/Core/Sidecar/Sidecar.cpp
+++ b/Source/Core/Sidecar/Sidecar.cpp
@@ -51,11 +51,11 @@
 static constexpr std::size_t MAX_PIECE_REQUESTS = 256;
 static constexpr Milliseconds MIN_PIECE_TIME = Milliseconds(5);
 static constexpr Milliseconds MIN_ORIGIN_PIECE_TIME = Milliseconds(2);
-// The minimum number of pieces that a member downloads from other members at once while the hall
+// The lowest limit on the pieces that a member downloads from other members at once while the hall
 // lacks pieces. With more downloads on its link, the piece that the member fetches from the origin
-// takes as long as all of these, and the origin's link is idle. The larger the hall, the less often
-// a member fetches from the origin.
-static constexpr std::uint32_t MIN_DOWNLOADS_WHILE_INCOMPLETE = 3;
+// takes as long as all of these, and the origin's link is idle. The limit grows with the hall: the
+// larger the hall, the less often a member fetches from the origin.
+static constexpr std::uint32_t LOWEST_DOWNLOAD_LIMIT_WHILE_INCOMPLETE = 3;
 static constexpr std::uint32_t MEMBERS_PER_DOWNLOAD = 3;
 static constexpr Milliseconds MIN_CLAIM_LIFETIME = Milliseconds(300);
 static constexpr Milliseconds MAX_CLAIM_LIFETIME = Milliseconds(5000);
@@ -137,13 +137,13 @@
 std::uint32_t Sidecar::MaxDownloadsWhileIncomplete() const
 {
   const auto members = std::ranges::count(m_peers, m_options.hall, &Mesh::Peer::hall);
-  return std::max(MIN_DOWNLOADS_WHILE_INCOMPLETE,
+  return std::max(LOWEST_DOWNLOAD_LIMIT_WHILE_INCOMPLETE,
                   static_cast<std::uint32_t>(members) / MEMBERS_PER_DOWNLOAD);
 }
 
-// All members of the hall may fetch a piece over the origin's one link at the same time, so a piece
-// takes the transfer time of one piece once for each member, and some pieces may have to be fetched
-// twice.
+// All members of the hall may fetch a piece over the origin's one link at the same time. The
+// transfer of a piece then takes one piece time for each member, and some pieces may have to be
+// fetched twice.
 Duration Sidecar::ClaimLifetime() const
 {
   static constexpr int EXTRA_PIECE_TIMES = 8;
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -160,7 +160,7 @@
   // The target's load from the engine's last report, updated with the work that gateways have
   // announced since then.
   Gateway::TargetLoad CurrentLoad(Common::TimePoint now) const;
-  bool IsDue(const KnownGateway& gateway, bool has_news, Common::TimePoint now) const;
+  bool IsLoadReportDue(const KnownGateway& gateway, bool has_news, Common::TimePoint now) const;
   void ChooseVersion(Common::TimePoint now, Actions* actions);
   void SetWantedVersion(std::uint64_t version, Common::TimePoint now, Actions* actions);
   void PrefetchVersion(std::uint64_t version, Common::TimePoint now, Actions* actions);
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -128,7 +128,7 @@
   return load;
 }
 
-bool Sidecar::IsDue(const KnownGateway& gateway, bool has_news, TimePoint now) const
+bool Sidecar::IsLoadReportDue(const KnownGateway& gateway, bool has_news, TimePoint now) const
 {
   if (has_news)
     return true;
@@ -170,7 +170,7 @@
   }
   for (auto& [address, gateway] : m_gateways)
   {
-    if (!IsDue(gateway, has_news, now))
+    if (!IsLoadReportDue(gateway, has_news, now))
       continue;
     const bool is_near = gateway.hall == m_options.hall;
     gateway.last_report = now;
--- a/Source/Core/Sidecar/SidecarVersions.cpp
+++ b/Source/Core/Sidecar/SidecarVersions.cpp
@@ -52,10 +52,10 @@
   // version are the only ones that the hall has.
   if (now + CopyTime() + SWITCH_TIME <= deadline)
     return !IsWantedMostlyFetched(swarm);
-  // The wanted version is not worth its bytes if it will miss its switch deadline in any case and
-  // more than half a copy of it is still missing.
-  const Duration left = RemainingCopyTime(swarm, now);
-  return now + left > deadline && left > CurrentCopyTime(now) / 2;
+  // Completing the wanted version is not worth the transfers if the version will miss its switch
+  // deadline in any case and more than half a copy of it is still missing.
+  const Duration remaining = RemainingCopyTime(swarm, now);
+  return now + remaining > deadline && remaining > CurrentCopyTime(now) / 2;
 }
 
 bool Sidecar::IsWantedMostlyFetched(const Distribution::Swarm* swarm) const
@@ -167,7 +167,7 @@
     m_previous = m_wanted;
   m_wanted = version;
   m_prefetched = std::max(m_prefetched, version);
-  m_stage.Want(m_plan.model, version, m_plan.pieces);
+  m_stage.SetVersion(m_plan.model, version, m_plan.pieces);
   FetchVersion(version, now, actions);
 }
 
--- a/Source/Core/Sidecar/StageKeeper.cpp
+++ b/Source/Core/Sidecar/StageKeeper.cpp
@@ -12,7 +12,7 @@
 static constexpr std::uint32_t MAX_CONCURRENT_CALLS = 2;
 static constexpr Milliseconds RETRY_DELAY = Milliseconds(100);
 
-void StageManager::Want(const std::string& model, std::uint64_t version, std::uint32_t pieces)
+void StageManager::SetVersion(const std::string& model, std::uint64_t version, std::uint32_t pieces)
 {
   if (model == m_model && version == m_version && pieces == m_pieces.size())
     return;
--- a/Source/Core/Sidecar/StageKeeper.h
+++ b/Source/Core/Sidecar/StageKeeper.h
@@ -23,7 +23,7 @@
 {
 public:
   // Sets the version that the stage should hold. Staged pieces of another version are overwritten.
-  void Want(const std::string& model, std::uint64_t version, std::uint32_t pieces);
+  void SetVersion(const std::string& model, std::uint64_t version, std::uint32_t pieces);
   // Requests the next calls to the engine. `swarm` holds the verified pieces of the wanted version.
   void OnTick(const Distribution::Swarm& swarm, Common::TimePoint now, StageActions* actions);
 
--- a/Source/UnitTests/Core/Sidecar/StageTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/StageTest.cpp
@@ -90,7 +90,7 @@
   const Weights weights;
   StageManager manager;
   std::map<std::uint32_t, Bytes> stage;
-  manager.Want("m", 2, PIECES);
+  manager.SetVersion("m", 2, PIECES);
   ExecuteCalls(manager, weights, stage);
   CHECK(manager.IsStaged());
   CHECK(manager.VerifiedSince().has_value());
@@ -107,7 +107,7 @@
   }
   SUBCASE("another version starts from nothing: no piece of it is staged")
   {
-    manager.Want("m", 3, PIECES);
+    manager.SetVersion("m", 3, PIECES);
     CHECK_FALSE(manager.IsStaged());
     CHECK_FALSE(manager.VerifiedSince().has_value());
   }
@@ -117,7 +117,7 @@
 {
   const Weights weights;
   StageManager manager;
-  manager.Want("m", 1, PIECES);
+  manager.SetVersion("m", 1, PIECES);
   for (std::uint32_t piece = 0; piece < PIECES; ++piece)
     manager.OnFound(piece);
   StageActions actions;
@@ -130,7 +130,7 @@
 {
   const Weights weights;
   StageManager manager;
-  manager.Want("m", 1, PIECES);
+  manager.SetVersion("m", 1, PIECES);
   StageActions actions;
   manager.OnTick(*weights.swarm, START, &actions);
   const auto first = Take<StagePiece>(actions);
