--- a/Source/Core/Sidecar/WeightsLoader.cpp
+++ b/Source/Core/Sidecar/WeightsLoader.cpp
@@ -12,9 +12,9 @@
 using Common::TimePoint;
 using Common::Weight;
 
-// Until gateways know that nothing new is taken here.
-static constexpr Milliseconds ANNOUNCE_TIME = Milliseconds(30);
-static constexpr Milliseconds RETRY_PAUSE = Milliseconds(150);
+// The time until gateways know that the target accepts no new requests.
+static constexpr Milliseconds ANNOUNCEMENT_LEAD_TIME = Milliseconds(30);
+static constexpr Milliseconds ORDER_RETRY_DELAY = Milliseconds(150);
 
 void WeightsLoader::Begin(const std::string& model, std::uint64_t version, TimePoint now)
 {
@@ -29,13 +29,13 @@
 
 std::optional<StartWeights> WeightsLoader::OnTick(TimePoint now)
 {
-  if (m_state != LoaderState::Announced || now - m_since < ANNOUNCE_TIME)
+  if (m_state != LoaderState::Announced || now - m_since < ANNOUNCEMENT_LEAD_TIME)
     return std::nullopt;
   m_state = LoaderState::Ordered;
   m_since = now;
   m_is_unanswered = false;
-  // The engine's own count of orders never falls during one incarnation, and a new one forgets
-  // tokens.
+  // The engine's order count is also used as the fencing token. It never decreases during one
+  // incarnation, and a new incarnation forgets the tokens.
   return StartWeights{m_model, m_version, m_orders_seen, m_orders_seen};
 }
 
@@ -57,16 +57,16 @@
     return;
   }
   m_state = LoaderState::Idle;
-  m_not_before = now + RETRY_PAUSE;
+  m_not_before = now + ORDER_RETRY_DELAY;
 }
 
 void WeightsLoader::OnReport(const EngineReport& report, TimePoint now)
 {
-  const bool has_taken = report.is_busy || report.orders > m_orders_seen;
+  const bool is_accepted = report.is_busy || report.orders > m_orders_seen;
   if (m_state == LoaderState::Ordered && m_is_unanswered)
   {
-    m_state = has_taken ? LoaderState::Loading : LoaderState::Idle;
-    m_not_before = now + RETRY_PAUSE;
+    m_state = is_accepted ? LoaderState::Loading : LoaderState::Idle;
+    m_not_before = now + ORDER_RETRY_DELAY;
   }
   const bool is_done = report.weights_version == m_version && !report.is_busy;
   if (m_state == LoaderState::Loading && is_done)
@@ -74,10 +74,10 @@
     LogEvent(Weight::Important, now, "switch.done", "version", m_version, "took_ms", now - m_since);
     m_state = LoaderState::Idle;
   }
-  // An engine that has started anew has forgotten the order.
+  // A restarted engine has forgotten the order.
   if (m_state == LoaderState::Loading && !report.is_busy && report.orders < m_orders_seen)
     m_state = LoaderState::Idle;
-  // What the engine reports while an order is open may be older than the order.
+  // A report that arrives while an order is open may be older than the order.
   if (m_state == LoaderState::Idle || m_state == LoaderState::Announced)
     m_orders_seen = report.orders;
 }
--- a/Source/UnitTests/Core/Sidecar/StageTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/StageTest.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint32_t PIECES = 4;
 constexpr std::uint32_t PIECE_BYTES = 1024;
 
-// A swarm that holds a whole version.
+// A swarm that holds all pieces of a version.
 struct Weights
 {
   Weights()
@@ -55,27 +55,28 @@
   std::unique_ptr<Distribution::Swarm> swarm;
 };
 
-// Carries out what the keeper asks of an engine whose stage is a map.
-void Serve(StageKeeper& keeper, const Weights& weights, std::map<std::uint32_t, Bytes>& stage)
+// Executes the manager's calls on an engine whose stage is a map.
+void ExecuteCalls(StageManager& manager, const Weights& weights,
+                  std::map<std::uint32_t, Bytes>& stage)
 {
   for (int turn = 0; turn < 100; ++turn)
   {
     StageActions actions;
-    keeper.OnTick(*weights.swarm, START, &actions);
+    manager.OnTick(*weights.swarm, START, &actions);
     for (const StageAction& action : actions)
     {
       if (const auto* put = std::get_if<StagePiece>(&action))
       {
         stage[put->piece] = put->data;
-        keeper.OnStaged({put->piece, std::monostate()}, START);
+        manager.OnStaged({put->piece, std::monostate()}, START);
       }
       if (const auto* get = std::get_if<ReadStaged>(&action))
       {
         const auto found = stage.find(get->piece);
-        keeper.OnRead({get->piece, found == stage.end()
-                                       ? Common::Result<Bytes>(Error{ErrorKind::NotFound, ""})
-                                       : Common::Result<Bytes>(found->second)},
-                      *weights.swarm, START);
+        manager.OnRead({get->piece, found == stage.end()
+                                        ? Common::Result<Bytes>(Error{ErrorKind::NotFound, ""})
+                                        : Common::Result<Bytes>(found->second)},
+                       *weights.swarm, START);
       }
     }
     if (actions.empty())
@@ -84,63 +85,64 @@
 }
 } // namespace
 
-TEST_CASE("The stage is filled and proved by reading it back")
+TEST_CASE("The stage is filled and verified by reading it back")
 {
   const Weights weights;
-  StageKeeper keeper;
+  StageManager manager;
   std::map<std::uint32_t, Bytes> stage;
-  keeper.Want("m", 2, PIECES);
-  Serve(keeper, weights, stage);
-  CHECK(keeper.IsStaged());
-  CHECK(keeper.ProvenSince().has_value());
+  manager.SetVersion("m", 2, PIECES);
+  ExecuteCalls(manager, weights, stage);
+  CHECK(manager.IsStaged());
+  CHECK(manager.VerifiedSince().has_value());
 
-  SUBCASE("what turned bad is found by proving again, and staged anew")
+  SUBCASE("a piece that is corrupted on the stage is detected by the next verification and staged "
+          "again")
   {
     stage[2] = Common::MakeBytes("spoilt");
-    keeper.ProveAgain();
-    CHECK_FALSE(keeper.ProvenSince().has_value());
-    Serve(keeper, weights, stage);
-    CHECK(keeper.ProvenSince().has_value());
+    manager.VerifyAgain();
+    CHECK_FALSE(manager.VerifiedSince().has_value());
+    ExecuteCalls(manager, weights, stage);
+    CHECK(manager.VerifiedSince().has_value());
     CHECK(*stage[2] == *weights.pieces[2]);
   }
-  SUBCASE("another version starts from nothing")
+  SUBCASE("another version starts from nothing: no piece of it is staged")
   {
-    keeper.Want("m", 3, PIECES);
-    CHECK_FALSE(keeper.IsStaged());
-    CHECK_FALSE(keeper.ProvenSince().has_value());
+    manager.SetVersion("m", 3, PIECES);
+    CHECK_FALSE(manager.IsStaged());
+    CHECK_FALSE(manager.VerifiedSince().has_value());
   }
 }
 
-TEST_CASE("What lay on the stage already is not staged again, but proved")
+TEST_CASE("Pieces that are already on the stage are not staged again, but verified")
 {
   const Weights weights;
-  StageKeeper keeper;
-  keeper.Want("m", 1, PIECES);
+  StageManager manager;
+  manager.SetVersion("m", 1, PIECES);
   for (std::uint32_t piece = 0; piece < PIECES; ++piece)
-    keeper.OnFound(piece);
+    manager.OnFound(piece);
   StageActions actions;
-  keeper.OnTick(*weights.swarm, START, &actions);
+  manager.OnTick(*weights.swarm, START, &actions);
   CHECK(Testing::Only<StagePiece>(actions).empty());
   CHECK_FALSE(Take<ReadStaged>(actions).empty());
 }
 
-TEST_CASE("A piece that the engine did not take is staged again after a pause")
+TEST_CASE("A piece that the engine did not accept is staged again after a pause")
 {
   const Weights weights;
-  StageKeeper keeper;
-  keeper.Want("m", 1, PIECES);
+  StageManager manager;
+  manager.SetVersion("m", 1, PIECES);
   StageActions actions;
-  keeper.OnTick(*weights.swarm, START, &actions);
+  manager.OnTick(*weights.swarm, START, &actions);
   const auto first = Take<StagePiece>(actions);
   REQUIRE_FALSE(first.empty());
-  keeper.OnStaged({first[0].piece, Error{ErrorKind::Unreachable, ""}}, START);
-  keeper.OnTick(*weights.swarm, START, &actions);
+  manager.OnStaged({first[0].piece, Error{ErrorKind::Unreachable, ""}}, START);
+  manager.OnTick(*weights.swarm, START, &actions);
   CHECK(Take<StagePiece>(actions).empty());
-  keeper.OnTick(*weights.swarm, START + Milliseconds(150), &actions);
+  manager.OnTick(*weights.swarm, START + Milliseconds(150), &actions);
   CHECK(Take<StagePiece>(actions).at(0).piece == first[0].piece);
 }
 
-TEST_CASE("An engine is ordered once for a version")
+TEST_CASE("An engine gets one load order for each version")
 {
   WeightsLoader loader;
   EngineReport report;
@@ -156,7 +158,7 @@
   CHECK(order->expected_orders == 4);
   CHECK_FALSE(loader.OnTick(START + Milliseconds(80)).has_value());
 
-  SUBCASE("taken: it waits until the engine has the version")
+  SUBCASE("accepted: the loader waits until the engine has the version")
   {
     loader.OnAnswered({2, std::monostate()}, START);
     report.is_busy = true;
@@ -169,7 +171,7 @@
     loader.OnReport(report, START);
     CHECK_FALSE(loader.IsUnderWay());
   }
-  SUBCASE("without an answer, the report decides: it was taken")
+  SUBCASE("without an answer: the next report shows that the order was accepted")
   {
     loader.OnAnswered({2, Error{ErrorKind::Unreachable, ""}}, START);
     CHECK(loader.IsUnderWay());
@@ -178,7 +180,7 @@
     loader.OnReport(report, START);
     CHECK(loader.State() == LoaderState::Loading);
   }
-  SUBCASE("without an answer, the report decides: it was not")
+  SUBCASE("without an answer: the next report shows that the order was not accepted")
   {
     loader.OnAnswered({2, Error{ErrorKind::Unreachable, ""}}, START);
     loader.OnReport(report, START);
@@ -188,12 +190,12 @@
     loader.Begin("m", 2, START + Milliseconds(200));
     CHECK(loader.IsUnderWay());
   }
-  SUBCASE("refused: it may be tried again later")
+  SUBCASE("refused: the order may be sent again later")
   {
     loader.OnAnswered({2, Error{ErrorKind::Conflict, ""}}, START);
     CHECK_FALSE(loader.IsUnderWay());
   }
-  SUBCASE("an engine that started anew has forgotten it")
+  SUBCASE("a restarted engine has forgotten the order")
   {
     loader.OnAnswered({2, std::monostate()}, START);
     report.orders = 0;
@@ -203,7 +205,7 @@
   }
 }
 
-TEST_CASE("Targets switch one after the other, and all in time")
+TEST_CASE("Targets switch one after the other, and all before the switch deadline")
 {
   std::vector<Mesh::Peer> peers;
   peers.reserve(20);
@@ -213,16 +215,17 @@
   std::set<std::size_t> ranks;
   for (const Mesh::Peer& peer : peers)
   {
-    const std::size_t rank = SwitchRank(peer.address, peers, 7);
+    const std::size_t rank = SwitchOrderRank(peer.address, peers, 7);
     CHECK(ranks.insert(rank).second);
-    const Common::TimePoint at = PlannedSwitch(window, rank, peers.size());
+    const Common::TimePoint at = PlannedSwitchTime(window, rank, peers.size());
     CHECK(at >= START + Milliseconds(3500));
     CHECK(at <= START + Milliseconds(7000));
   }
-  CHECK(PlannedSwitch(window, 5, 20) < PlannedSwitch(window, 6, 20));
-  // Another version gives another order, so that nobody is always the last.
+  CHECK(PlannedSwitchTime(window, 5, 20) < PlannedSwitchTime(window, 6, 20));
+  // Another version results in another order, so that no target is always the last.
   bool differs = false;
   for (const Mesh::Peer& peer : peers)
-    differs = differs || SwitchRank(peer.address, peers, 7) != SwitchRank(peer.address, peers, 8);
+    differs = differs ||
+              SwitchOrderRank(peer.address, peers, 7) != SwitchOrderRank(peer.address, peers, 8);
   CHECK(differs);
 }
