--- a/Source/Core/Distribution/Exchange.cpp
+++ b/Source/Core/Distribution/Exchange.cpp
@@ -15,8 +15,8 @@
 // How often stalls and patience are looked at while a version is incomplete.
 // A queued upload waits at most this part of the time after which the receiver would call it
 // stalled.
-static constexpr int UPLOAD_WAIT_SHARE = 3;
-static constexpr Common::Duration TICK = Common::Milliseconds(50);
+static constexpr int UPLOAD_WAIT_DIVISOR = 3;
+static constexpr Common::Duration TICK_PERIOD = Common::Milliseconds(50);
 
 Exchange::Exchange(std::string self, std::string hall, std::uint64_t seed)
     : m_self(std::move(self)), m_hall(std::move(hall)), m_seed(seed)
@@ -27,8 +27,8 @@
 {
   m_options = options;
   m_uploads.SetLimits(options.link_bytes_per_second, options.link_pacing, options.upload_queue_most,
-                      options.swarm.stall / UPLOAD_WAIT_SHARE);
-  m_uploads.SetUnconfirmedMost(options.uploads_unconfirmed_most, options.swarm.piece_time);
+                      options.swarm.stall / UPLOAD_WAIT_DIVISOR);
+  m_uploads.SetMaxUnconfirmed(options.uploads_unconfirmed_most, options.swarm.piece_time);
   m_download.SetRate(options.link_pacing == LinkPacing::Budget ? options.link_bytes_per_second : 0);
   m_shared.downloads.SetPieceTime(options.swarm.piece_time);
   for (const auto& [version, swarm] : m_swarms)
@@ -110,11 +110,12 @@
     swarm->OnPeerLost(peer, now, actions);
 }
 
-void Exchange::GiveToSwarm(FetchId id, const Result<Bytes>& result, TimePoint now, Actions* actions)
+void Exchange::DeliverToSwarm(FetchId id, const Result<Bytes>& result, TimePoint now,
+                              Actions* actions)
 {
   for (const auto& [version, swarm] : m_swarms)
   {
-    if (swarm->OwnsFetch(id))
+    if (swarm->HasFetch(id))
     {
       swarm->OnFetched(id, result, now, actions);
       return;
@@ -128,12 +129,12 @@
   const TimePoint due = data ? m_download.BookReceive((*data)->size(), now) : now;
   if (due <= now)
   {
-    GiveToSwarm(id, result, now, actions);
+    DeliverToSwarm(id, result, now, actions);
     return;
   }
   for (const auto& [version, swarm] : m_swarms)
-    swarm->OnArriving(id, now);
-  m_arrivals.push_back({id, result, due});
+    swarm->OnBytesReceived(id, now);
+  m_delayed_pieces.push_back({id, result, due});
 }
 
 void Exchange::OnPieceRequest(RequestTag tag, const Digest& version, std::uint32_t piece,
@@ -165,11 +166,11 @@
 void Exchange::OnTick(TimePoint now, Actions* actions)
 {
   m_uploads.Advance(now, actions);
-  while (!m_arrivals.empty() && m_arrivals.front().due <= now)
+  while (!m_delayed_pieces.empty() && m_delayed_pieces.front().due <= now)
   {
-    const Arrival arrival = std::move(m_arrivals.front());
-    m_arrivals.pop_front();
-    GiveToSwarm(arrival.id, arrival.result, now, actions);
+    const DelayedPiece delayed = std::move(m_delayed_pieces.front());
+    m_delayed_pieces.pop_front();
+    DeliverToSwarm(delayed.id, delayed.result, now, actions);
   }
   for (const auto& [version, swarm] : m_swarms)
   {
@@ -181,13 +182,13 @@
 std::optional<TimePoint> Exchange::NextWakeup(TimePoint now) const
 {
   std::optional<TimePoint> next = m_uploads.NextWakeup();
-  const auto sooner = [&next](TimePoint at) { next = next ? std::min(*next, at) : at; };
-  if (!m_arrivals.empty())
-    sooner(m_arrivals.front().due);
+  const auto wake_by = [&next](TimePoint at) { next = next ? std::min(*next, at) : at; };
+  if (!m_delayed_pieces.empty())
+    wake_by(m_delayed_pieces.front().due);
   for (const auto& [version, swarm] : m_swarms)
   {
     if (!swarm->IsHeld())
-      sooner(std::min(now + TICK, std::max(now, swarm->NextTurn())));
+      wake_by(std::min(now + TICK_PERIOD, std::max(now, swarm->NextTurnStart())));
   }
   return next;
 }
--- a/Source/Core/Distribution/Exchange.h
+++ b/Source/Core/Distribution/Exchange.h
@@ -74,15 +74,15 @@
 
 private:
   // A piece whose bytes are still on the link.
-  struct Arrival
+  struct DelayedPiece
   {
     FetchId id;
     Common::Result<Common::Bytes> result;
     Common::TimePoint due;
   };
 
-  void GiveToSwarm(FetchId id, const Common::Result<Common::Bytes>& result, Common::TimePoint now,
-                   Actions* actions);
+  void DeliverToSwarm(FetchId id, const Common::Result<Common::Bytes>& result,
+                      Common::TimePoint now, Actions* actions);
   void SetPeersOf(Swarm& swarm, Common::TimePoint now, Actions* actions);
 
   std::string m_self;
@@ -94,6 +94,6 @@
   std::map<Common::Digest, std::unique_ptr<Swarm>> m_swarms;
   Uploads m_uploads;
   LinkBudget m_download;
-  std::deque<Arrival> m_arrivals;
+  std::deque<DelayedPiece> m_delayed_pieces;
 };
 } // namespace Holdpost::Distribution
--- a/Source/Core/Distribution/Manifest.cpp
+++ b/Source/Core/Distribution/Manifest.cpp
@@ -33,7 +33,7 @@
       .dump();
 }
 
-static std::string FindFault(const Manifest& manifest)
+static std::string FindManifestError(const Manifest& manifest)
 {
   if (manifest.piece_bytes < PIECE_BYTES_LEAST || manifest.piece_bytes > PIECE_BYTES_MOST)
   {
@@ -49,7 +49,7 @@
   return "";
 }
 
-static Manifest ReadManifest(const json& object)
+static Manifest ParseManifest(const json& object)
 {
   Manifest manifest;
   manifest.name = object.at("name");
@@ -69,8 +69,8 @@
 {
   try
   {
-    Manifest manifest = ReadManifest(json::parse(text));
-    if (const std::string fault = FindFault(manifest); !fault.empty())
+    Manifest manifest = ParseManifest(json::parse(text));
+    if (const std::string fault = FindManifestError(manifest); !fault.empty())
       return Error{ErrorKind::BadSettings, fault};
     return manifest;
   }
--- a/Source/Core/Distribution/Neighbours.cpp
+++ b/Source/Core/Distribution/Neighbours.cpp
@@ -7,22 +7,23 @@
 namespace Holdpost::Distribution
 {
 // One link in this many goes to other halls.
-static constexpr std::size_t ACROSS_SHARE = 4;
+static constexpr std::size_t OTHER_HALL_LINK_DIVISOR = 4;
 
 // Links to both sides of the ring, `count` in all, at distances that all members compute alike.
-static void AddFromRing(std::uint64_t seed, const std::string& self,
-                        const std::vector<std::string>& members, std::size_t count,
-                        std::set<std::string>* chosen)
+static void AddRingNeighbours(std::uint64_t seed, const std::string& self,
+                              const std::vector<std::string>& members, std::size_t count,
+                              std::set<std::string>* chosen)
 {
   std::vector<std::pair<std::uint64_t, std::string>> ring;
   ring.reserve(members.size());
   for (const std::string& member : members)
     ring.emplace_back(Common::StableHash(member, seed), member);
   std::ranges::sort(ring);
-  const auto own = std::ranges::find(ring, self, &std::pair<std::uint64_t, std::string>::second);
-  if (own == ring.end() || ring.size() < 2)
+  const auto self_entry =
+      std::ranges::find(ring, self, &std::pair<std::uint64_t, std::string>::second);
+  if (self_entry == ring.end() || ring.size() < 2)
     return;
-  const auto position = static_cast<std::size_t>(own - ring.begin());
+  const auto position = static_cast<std::size_t>(self_entry - ring.begin());
   const std::size_t half = ring.size() / 2;
   std::set<std::size_t> distances;
   for (std::uint64_t i = 0; distances.size() < std::min((count + 1) / 2, half); ++i)
@@ -41,22 +42,24 @@
                                           std::size_t count)
 {
   const std::uint64_t seed = Common::StableHash(version.ToHex());
-  std::vector<std::string> everyone = {self};
+  std::vector<std::string> all_members = {self};
   std::vector<std::string> in_hall = {self};
   for (const NeighbourCandidate& candidate : all)
   {
     if (candidate.instance == self)
       continue;
-    everyone.push_back(candidate.instance);
+    all_members.push_back(candidate.instance);
     if (candidate.hall == hall)
       in_hall.push_back(candidate.instance);
   }
   std::set<std::string> chosen;
-  const bool has_other_halls = in_hall.size() < everyone.size();
-  const std::size_t across = has_other_halls ? std::max<std::size_t>(2, count / ACROSS_SHARE) : 0;
-  AddFromRing(seed, self, in_hall, count > across ? count - across : 1, &chosen);
-  if (across > 0)
-    AddFromRing(seed + 1, self, everyone, across, &chosen);
+  const bool has_other_halls = in_hall.size() < all_members.size();
+  const std::size_t other_hall_links =
+      has_other_halls ? std::max<std::size_t>(2, count / OTHER_HALL_LINK_DIVISOR) : 0;
+  AddRingNeighbours(seed, self, in_hall, count > other_hall_links ? count - other_hall_links : 1,
+                    &chosen);
+  if (other_hall_links > 0)
+    AddRingNeighbours(seed + 1, self, all_members, other_hall_links, &chosen);
   chosen.erase(self);
   return {chosen.begin(), chosen.end()};
 }
--- a/Source/Core/Distribution/Ranking.h
+++ b/Source/Core/Distribution/Ranking.h
@@ -17,20 +17,21 @@
                                       const std::string& self,
                                       const std::vector<std::string>& others);
 // Of `names`, the `count` that come first in the rendezvous order of the piece.
-std::vector<std::string> FirstForPiece(const Common::Digest& version, std::uint32_t piece,
-                                       const std::vector<std::string>& names, std::size_t count);
+std::vector<std::string> TopRankedForPiece(const Common::Digest& version, std::uint32_t piece,
+                                           const std::vector<std::string>& names,
+                                           std::size_t count);
 
 // The pieces of a version, dealt out evenly to the members of a hall: who brings in which piece
 // from outside, and who comes after it if that fails.
-class Deal
+class PieceAssignment
 {
 public:
-  Deal() = default;
-  Deal(const Common::Digest& version, const std::vector<std::string>& members);
+  PieceAssignment() = default;
+  PieceAssignment(const Common::Digest& version, const std::vector<std::string>& members);
 
   // The places in the order of the piece, the one that brings it in first.
   std::uint32_t RankOf(const std::string& member, std::uint32_t piece) const;
-  std::vector<std::string> First(std::uint32_t piece, std::size_t count) const;
+  std::vector<std::string> FirstMembers(std::uint32_t piece, std::size_t count) const;
 
 private:
   std::vector<std::string> m_members;
--- a/Source/Core/Distribution/Swarm.cpp
+++ b/Source/Core/Distribution/Swarm.cpp
@@ -19,7 +19,7 @@
 using Common::TimePoint;
 
 // The pause after a stall doubles up to this many times.
-static constexpr std::uint32_t STALLS_MOST = 5;
+static constexpr std::uint32_t MAX_STALL_DOUBLINGS = 5;
 
 std::string_view TransferEventName(TransferEvent event)
 {
@@ -59,11 +59,11 @@
   {
     m_fetchers = fetchers;
     m_halls.clear();
-    m_hall_of.clear();
+    m_hall_by_instance.clear();
     for (const Fetcher& fetcher : fetchers)
     {
       m_halls[fetcher.hall].push_back(fetcher.instance);
-      m_hall_of[fetcher.instance] = fetcher.hall;
+      m_hall_by_instance[fetcher.instance] = fetcher.hall;
     }
     ComputeRanks();
   }
@@ -72,7 +72,8 @@
   std::vector<std::string> dropped;
   for (const auto& [name, neighbour] : m_neighbours)
   {
-    const bool is_kept = neighbour.is_remote && m_hall_of.contains(name) && IsInOtherHall(name);
+    const bool is_kept =
+        neighbour.is_remote && m_hall_by_instance.contains(name) && IsInOtherHall(name);
     if (!is_kept && std::ranges::find(neighbours, name) == neighbours.end())
       dropped.push_back(name);
   }
@@ -84,36 +85,36 @@
     if (is_new)
     {
       found->second.held = PieceSet(m_held.Size());
-      TellWhole(name, true, actions);
-      found->second.is_told = true;
+      SendFullAnnouncement(name, true, actions);
+      found->second.knows_local_holdings = true;
     }
   }
-  Pump(now, actions);
+  ScheduleFetches(now, actions);
 }
 
 void Swarm::OnViewConfirmed(TimePoint now, Actions* actions)
 {
   if (!std::exchange(m_is_view_confirmed, true))
     m_view_confirmed_at = now;
-  Pump(now, actions);
+  ScheduleFetches(now, actions);
 }
 
-Announcement Swarm::WholeAnnouncement(bool wants_reply) const
+Announcement Swarm::FullAnnouncement(bool wants_reply) const
 {
   return {m_version, m_held.Size(), true, wants_reply, m_held.ToBitmap(), {}, {}};
 }
 
-void Swarm::TellWhole(const std::string& peer, bool wants_reply, Actions* actions)
+void Swarm::SendFullAnnouncement(const std::string& peer, bool wants_reply, Actions* actions)
 {
-  actions->push_back(SendAnnouncement{peer, WholeAnnouncement(wants_reply)});
+  actions->push_back(SendAnnouncement{peer, FullAnnouncement(wants_reply)});
 }
 
-void Swarm::TellNewPiece(std::uint32_t piece, Actions* actions)
+void Swarm::AnnouncePiece(std::uint32_t piece, Actions* actions)
 {
   for (const auto& [name, neighbour] : m_neighbours)
   {
     // One that holds the piece has no use for the news.
-    if (!neighbour.is_told || neighbour.held.Contains(piece))
+    if (!neighbour.knows_local_holdings || neighbour.held.Contains(piece))
       continue;
     if (neighbour.is_remote)
       continue;
@@ -122,7 +123,7 @@
   }
 }
 
-void Swarm::NoteHolding(Neighbour& neighbour, std::uint32_t piece, TimePoint now)
+void Swarm::AddHolding(Neighbour& neighbour, std::uint32_t piece, TimePoint now)
 {
   if (!neighbour.held.Insert(piece))
     return;
@@ -130,20 +131,20 @@
   {
     if (m_held.Contains(piece))
       return;
-    m_last_new_sight = now;
-    m_last_outside_sight = now;
-    m_has_yielded = false;
-    if (m_seen_outside_at[piece] == TimePoint())
-      m_seen_outside_at[piece] = now;
+    m_last_availability_at = now;
+    m_last_outside_availability_at = now;
+    m_has_yielded_to_origin_hall = false;
+    if (m_available_outside_at[piece] == TimePoint())
+      m_available_outside_at[piece] = now;
   }
   else if (m_availability[piece]++ == 0 && !m_held.Contains(piece))
   {
-    m_last_new_sight = now;
-    OnFetchedFromOrigin(piece, now);
+    m_last_availability_at = now;
+    OnPieceInHall(piece, now);
   }
 }
 
-void Swarm::ForgetHoldings(Neighbour& neighbour)
+void Swarm::ClearHoldings(Neighbour& neighbour)
 {
   for (std::uint32_t piece = 0; piece < neighbour.held.Size(); ++piece)
   {
@@ -163,13 +164,13 @@
     neighbour.held = PieceSet(m_held.Size());
     neighbour.is_remote = m_options.shares_crossings && IsInOtherHall(peer);
   }
-  if (const auto hall = m_hall_of.find(peer);
-      hall != m_hall_of.end() && hall->second == m_options.origin_hall)
-    m_origin_hall_seen = now;
+  if (const auto hall = m_hall_by_instance.find(peer);
+      hall != m_hall_by_instance.end() && hall->second == m_options.origin_hall)
+    m_origin_hall_contact_at = now;
   if (announcement.wants_reply)
   {
-    TellWhole(peer, false, actions);
-    neighbour.is_told = true;
+    SendFullAnnouncement(peer, false, actions);
+    neighbour.knows_local_holdings = true;
   }
   neighbour.has_answered = true;
   if (announcement.piece_count > 0)
@@ -177,25 +178,25 @@
   if (!m_manifest)
   {
     // What it holds can't be placed yet; it is asked again once the manifest is here.
-    Pump(now, actions);
+    ScheduleFetches(now, actions);
     return;
   }
   if (announcement.piece_count == m_held.Size())
   {
     if (announcement.is_whole)
     {
-      ForgetHoldings(neighbour);
+      ClearHoldings(neighbour);
       const PieceSet held = PieceSet::FromBitmap(announcement.bitmap, m_held.Size());
       for (std::uint32_t piece = 0; piece < held.Size(); ++piece)
       {
         if (held.Contains(piece))
-          NoteHolding(neighbour, piece, now);
+          AddHolding(neighbour, piece, now);
       }
     }
     for (const std::uint32_t piece : announcement.pieces)
     {
       if (piece < m_held.Size())
-        NoteHolding(neighbour, piece, now);
+        AddHolding(neighbour, piece, now);
     }
     for (const std::uint32_t piece : announcement.claimed)
     {
@@ -203,7 +204,7 @@
         m_claimed_at[piece] = now;
     }
   }
-  Pump(now, actions);
+  ScheduleFetches(now, actions);
 }
 
 void Swarm::OnPeerLost(const std::string& peer, TimePoint now, Actions* actions)
@@ -211,25 +212,25 @@
   if (!m_neighbours.contains(peer))
     return;
   Unlink(peer, actions);
-  Pump(now, actions);
+  ScheduleFetches(now, actions);
 }
 
 void Swarm::Unlink(const std::string& peer, Actions* actions)
 {
   const auto found = m_neighbours.find(peer);
-  CancelWhere([&](const Fetch& fetch) { return fetch.peer == peer; }, actions);
-  ForgetHoldings(found->second);
+  CancelMatching([&](const Fetch& fetch) { return fetch.peer == peer; }, actions);
+  ClearHoldings(found->second);
   m_neighbours.erase(found);
 }
 
 void Swarm::OnTick(TimePoint now, Actions* actions)
 {
-  if (!m_last_new_sight)
-    m_last_new_sight = now;
-  GiveUpStalled(now, actions);
-  if (m_options.shares_crossings && !IsHeld() && now >= m_greet_due)
-    Greet(now, actions);
-  Pump(now, actions);
+  if (!m_last_availability_at)
+    m_last_availability_at = now;
+  CancelStalledFetches(now, actions);
+  if (m_options.shares_crossings && !IsHeld() && now >= m_resync_due)
+    ResyncHoldings(now, actions);
+  ScheduleFetches(now, actions);
 }
 
 void Swarm::Stop(Actions* actions)
@@ -237,7 +238,7 @@
   for (const auto& [id, fetch] : m_fetches)
     actions->push_back(CancelFetch{id});
   m_fetches.clear();
-  m_shared->lacking.erase(m_version);
+  m_shared->incomplete_in_hall.erase(m_version);
 }
 
 Bytes Swarm::Piece(std::uint32_t piece) const
@@ -262,12 +263,12 @@
   m_fetches.erase(fetch);
 }
 
-void Swarm::CancelWhere(const std::function<bool(const Fetch&)>& is_meant, Actions* actions)
+void Swarm::CancelMatching(const std::function<bool(const Fetch&)>& matches, Actions* actions)
 {
   for (auto fetch = m_fetches.begin(); fetch != m_fetches.end();)
   {
     const auto next = std::next(fetch);
-    if (is_meant(fetch->second))
+    if (matches(fetch->second))
     {
       actions->push_back(CancelFetch{fetch->first});
       EndFetch(fetch);
@@ -276,12 +277,12 @@
   }
 }
 
-void Swarm::CancelOthers(std::uint32_t piece, Actions* actions)
+void Swarm::CancelFetchesOf(std::uint32_t piece, Actions* actions)
 {
-  CancelWhere([&](const Fetch& fetch) { return fetch.piece == piece; }, actions);
+  CancelMatching([&](const Fetch& fetch) { return fetch.piece == piece; }, actions);
 }
 
-void Swarm::GiveUpStalled(TimePoint now, Actions* actions)
+void Swarm::CancelStalledFetches(TimePoint now, Actions* actions)
 {
   std::set<std::string> stalled;
   const Duration stall_time = StallTime(now);
@@ -294,9 +295,9 @@
                                : neighbour == m_neighbours.end() ? TimePoint{}
                                                                  : neighbour->second.last_progress;
     // A source that works through its queue for us is slow, not stalled.
-    if (!fetch->second.is_arriving && now - std::max(progress, fetch->second.started) >= stall_time)
+    if (!fetch->second.is_received && now - std::max(progress, fetch->second.started) >= stall_time)
     {
-      m_shared->downloads.OnTransfer(now - fetch->second.started, fetch->second.at_once, now);
+      m_shared->downloads.OnTransfer(now - fetch->second.started, fetch->second.concurrent, now);
       actions->push_back(CancelFetch{fetch->first});
       actions->push_back(
           CountTransfer{peer.empty() ? TransferEvent::OriginStalled : TransferEvent::PeerStalled});
@@ -310,17 +311,17 @@
   {
     // Each time in a row it is left alone for longer.
     Neighbour& neighbour = m_neighbours[peer];
-    neighbour.stalls = std::min(neighbour.stalls + 1, STALLS_MOST);
+    neighbour.stalls = std::min(neighbour.stalls + 1, MAX_STALL_DOUBLINGS);
     neighbour.blocked_until = now + m_options.stall * (1U << neighbour.stalls);
   }
 }
 
-void Swarm::OnArriving(FetchId id, TimePoint now)
+void Swarm::OnBytesReceived(FetchId id, TimePoint now)
 {
   const auto found = m_fetches.find(id);
   if (found == m_fetches.end())
     return;
-  found->second.is_arriving = true;
+  found->second.is_received = true;
   OnSourceProgress(found->second, now);
 }
 
@@ -344,19 +345,19 @@
   if (found == m_fetches.end())
     return;
   const Fetch fetch = found->second;
-  const std::size_t at_once = std::max(fetch.at_once, m_fetches.size());
+  const std::size_t concurrent = std::max(fetch.concurrent, m_fetches.size());
   EndFetch(found);
   if (Common::Succeeded(result))
     m_last_arrival = now;
   if (fetch.piece != MANIFEST_PIECE && Common::Succeeded(result))
-    m_shared->downloads.OnTransfer(now - fetch.started, at_once, now);
+    m_shared->downloads.OnTransfer(now - fetch.started, concurrent, now);
   if (const auto* error = std::get_if<Error>(&result))
     OnFetchFailed(fetch, *error, now, actions);
   else if (fetch.piece == MANIFEST_PIECE)
     AcceptManifest(fetch, std::get<Bytes>(result), now, actions);
   else
     AcceptPiece(fetch, std::get<Bytes>(result), now, actions);
-  Pump(now, actions);
+  ScheduleFetches(now, actions);
 }
 
 } // namespace Holdpost::Distribution
--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -22,7 +22,7 @@
 namespace Holdpost::Distribution
 {
 // A peer that sent this many corrupt pieces is not asked again for a while.
-constexpr std::uint32_t SHUN_AFTER = 2;
+constexpr std::uint32_t SHUN_AFTER_CORRUPT_PIECES = 2;
 
 struct SwarmOptions
 {
@@ -34,7 +34,7 @@
   // A source of the platform that fails is left alone for so long at most.
   Common::Duration backoff_most = Common::Milliseconds(5000);
   std::uint32_t window_per_peer = 1;
-  std::uint32_t window_of_platform = 4;
+  std::uint32_t platform_window = 4;
   std::uint32_t window_in_all = 16;
   // The same as long as the hall lacks pieces, of this version or another one, that it has to bring
   // in: these come first, as all of the hall wait for them.
@@ -61,7 +61,7 @@
   // What a neighbour said it is bringing in is left to it for so long.
   Common::Duration claim_lifetime = Common::Milliseconds(450);
   // Pieces that one instance brings in at once.
-  std::uint32_t window_of_outside = 1;
+  std::uint32_t outside_window = 1;
 };
 
 // An instance that wants the version.
@@ -78,9 +78,9 @@
 {
   FetchId next_fetch_id = 1;
   // Watches the own link by the pieces that come in.
-  LinkWatch downloads;
+  LinkTracker downloads;
   // Versions of which the hall lacks pieces that its instances are bringing in.
-  std::set<Common::Digest> lacking;
+  std::set<Common::Digest> incomplete_in_hall;
 };
 
 class Swarm
@@ -103,7 +103,7 @@
   // The peer has gone or cannot be reached.
   void OnPeerLost(const std::string& peer, Common::TimePoint now, Actions* actions);
   // The bytes are here, but still wait for their turn on the own link: the source is not to blame.
-  void OnArriving(FetchId id, Common::TimePoint now);
+  void OnBytesReceived(FetchId id, Common::TimePoint now);
   // An answer to a FetchPiece. Late answers to cancelled fetches are dropped.
   void OnFetched(FetchId id, const Common::Result<Common::Bytes>& result, Common::TimePoint now,
                  Actions* actions);
@@ -115,8 +115,8 @@
   void Stop(Actions* actions);
 
   // When OnTick has something to do that nothing else wakes it for.
-  Common::TimePoint NextTurn() const { return m_next_turn; }
-  bool OwnsFetch(FetchId id) const { return m_fetches.contains(id); }
+  Common::TimePoint NextTurnStart() const { return m_next_turn_start; }
+  bool HasFetch(FetchId id) const { return m_fetches.contains(id); }
   const Common::Digest& Version() const { return m_version; }
   bool IsHeld() const { return m_manifest && m_held.IsFull(); }
   const std::optional<Manifest>& ManifestHeld() const { return m_manifest; }
@@ -146,7 +146,7 @@
     // Set once it has told us what it holds.
     bool has_answered = false;
     // Set once we have told it all that we hold.
-    bool is_told = false;
+    bool knows_local_holdings = false;
     Common::TimePoint last_progress{};
     Common::TimePoint blocked_until{};
   };
@@ -157,9 +157,9 @@
     std::string peer; // empty for a source of the platform
     PlatformSource source = PlatformSource::Origin;
     Common::TimePoint started{};
-    bool is_arriving = false;
+    bool is_received = false;
     // Fetches that went on when it was started.
-    std::size_t at_once = 1;
+    std::size_t concurrent = 1;
   };
 
   struct SourceState
@@ -174,30 +174,31 @@
     return m_sources[static_cast<std::size_t>(source)];
   }
   // The weight store before the origin; empty while both want to be left alone.
-  std::optional<PlatformSource> OpenSource(Common::TimePoint now) const;
-  void Pump(Common::TimePoint now, Actions* actions);
-  void PumpManifest(Common::TimePoint now, Actions* actions);
-  void PumpOrigin(Common::TimePoint now, Actions* actions);
-  void PumpPeers(Common::TimePoint now, Actions* actions);
-  void PumpHedges(Common::TimePoint now, Actions* actions);
-  void GiveUpStalled(Common::TimePoint now, Actions* actions);
+  std::optional<PlatformSource> UsableSource(Common::TimePoint now) const;
+  void ScheduleFetches(Common::TimePoint now, Actions* actions);
+  void ScheduleManifest(Common::TimePoint now, Actions* actions);
+  void ScheduleOriginFetches(Common::TimePoint now, Actions* actions);
+  void SchedulePeerFetches(Common::TimePoint now, Actions* actions);
+  void ScheduleHedges(Common::TimePoint now, Actions* actions);
+  void CancelStalledFetches(Common::TimePoint now, Actions* actions);
   bool MayUseOrigin(Common::TimePoint now) const;
-  std::optional<std::uint32_t> NextForOrigin(Common::TimePoint now, bool* is_takeover) const;
+  std::optional<std::uint32_t> NextOriginPiece(Common::TimePoint now, bool* is_takeover) const;
   std::optional<std::uint32_t> RarestPiece(Common::TimePoint now);
   // The least loaded neighbour that holds the piece; empty if none may be asked now.
-  std::string BestSource(std::uint32_t piece, Common::TimePoint now, const std::string& except);
-  bool MayAsk(const Neighbour& neighbour, Common::TimePoint now) const;
+  std::string SelectPeer(std::uint32_t piece, Common::TimePoint now, const std::string& except);
+  bool MayRequestFrom(const Neighbour& neighbour, Common::TimePoint now) const;
   // Whether the piece may be asked of the neighbour, as one of the hall, at this moment.
-  bool MayAskFor(const Neighbour& neighbour, std::uint32_t piece, Common::TimePoint now) const;
+  bool MayRequestPiece(const Neighbour& neighbour, std::uint32_t piece,
+                       Common::TimePoint now) const;
   bool IsInOtherHall(const std::string& peer) const;
   // Whether some neighbour that may be asked holds the piece.
-  bool IsWithinReach(std::uint32_t piece) const;
+  bool IsAvailableNearby(std::uint32_t piece) const;
   void OnSourceProgress(const Fetch& fetch, Common::TimePoint now);
   void StartFetch(std::uint32_t piece, const std::string& peer, Common::TimePoint now,
                   Actions* actions);
   void EndFetch(std::map<FetchId, Fetch>::iterator fetch);
-  void CancelWhere(const std::function<bool(const Fetch&)>& is_meant, Actions* actions);
-  void CancelOthers(std::uint32_t piece, Actions* actions);
+  void CancelMatching(const std::function<bool(const Fetch&)>& matches, Actions* actions);
+  void CancelFetchesOf(std::uint32_t piece, Actions* actions);
 
   void AcceptManifest(const Fetch& fetch, const Common::Bytes& data, Common::TimePoint now,
                       Actions* actions);
@@ -210,56 +211,56 @@
                         Actions* actions);
   void OnFetchFailed(const Fetch& fetch, const Common::Error& error, Common::TimePoint now,
                      Actions* actions);
-  void NoteHolding(Neighbour& neighbour, std::uint32_t piece, Common::TimePoint now);
-  void ForgetHoldings(Neighbour& neighbour);
+  void AddHolding(Neighbour& neighbour, std::uint32_t piece, Common::TimePoint now);
+  void ClearHoldings(Neighbour& neighbour);
   void Unlink(const std::string& peer, Actions* actions);
-  void TellWhole(const std::string& peer, bool wants_reply, Actions* actions);
-  void TellNewPiece(std::uint32_t piece, Actions* actions);
-  void TellNextHall(std::uint32_t piece, bool is_from_origin, Actions* actions);
-  void Greet(Common::TimePoint now, Actions* actions);
+  void SendFullAnnouncement(const std::string& peer, bool wants_reply, Actions* actions);
+  void AnnouncePiece(std::uint32_t piece, Actions* actions);
+  void AnnounceToNextHall(std::uint32_t piece, bool is_from_origin, Actions* actions);
+  void ResyncHoldings(Common::TimePoint now, Actions* actions);
   bool IsInOriginHall() const;
   // Whether the instances in the origin's hall bring in nothing, so that others have to.
   bool IsOriginHallIdle(Common::TimePoint now);
-  void PumpOutside(Common::TimePoint now, Actions* actions);
+  void ScheduleOutsideFetches(Common::TimePoint now, Actions* actions);
   // Where the piece may be had outside the hall: a peer, or an empty name for the origin.
-  std::optional<std::string> OutsideSource(std::uint32_t piece, bool may_use_origin,
-                                           Common::TimePoint now);
+  std::optional<std::string> SelectOutsideSource(std::uint32_t piece, bool may_use_origin,
+                                                 Common::TimePoint now);
   // Whether neither this instance nor a neighbour of the hall holds the piece.
-  bool IsUnseen(std::uint32_t piece) const
+  bool IsUnavailable(std::uint32_t piece) const
   {
     return !m_held.Contains(piece) && m_availability[piece] == 0;
   }
   // When this instance may bring the piece in.
-  Common::TimePoint TurnAt(std::uint32_t piece) const;
+  Common::TimePoint TurnStart(std::uint32_t piece) const;
   // Plans to fetch what the hall lacks, in order, from now on.
   void PlanFetches(Common::TimePoint now);
   // When the piece should come from the origin.
-  Common::TimePoint PlannedFetch(std::uint32_t piece) const;
+  Common::TimePoint PlannedFetchAt(std::uint32_t piece) const;
   // The piece has come to some member of the hall. Returns whether the origin was down until then.
-  bool OnFetchedFromOrigin(std::uint32_t piece, Common::TimePoint now);
+  bool OnPieceInHall(std::uint32_t piece, Common::TimePoint now);
   // Tells those of the hall that are no neighbours, too, so that all know that the origin is back.
-  void TellWholeHall(std::uint32_t piece, Actions* actions);
+  void AnnounceToHall(std::uint32_t piece, Actions* actions);
   // For how long the origin has been down as far as the hall can tell; below zero if it is not.
-  Common::Duration OutageFor(Common::TimePoint now) const;
+  Common::Duration OriginOutage(Common::TimePoint now) const;
   // While the origin is down few of the hall go on asking it, the more the longer it takes. If all
   // did, its first answers would be shared between copies of the same pieces.
-  bool MayFetchForHall(Common::TimePoint now) const;
+  bool MayProbeOrigin(Common::TimePoint now) const;
   bool IsClaimed(std::uint32_t piece, Common::TimePoint now) const;
   void Claim(std::uint32_t piece, Actions* actions);
-  std::uint32_t OpenOutside() const;
-  void PumpSlow(Common::TimePoint now, Actions* actions);
-  std::uint32_t WindowInAll(Common::TimePoint now) const;
+  std::uint32_t OpenOutsideFetches() const;
+  void ScheduleSlowHedges(Common::TimePoint now, Actions* actions);
+  std::uint32_t TotalWindow(Common::TimePoint now) const;
   // Whether pieces have to be brought into the hall, and are expected to come.
-  bool IsLacking(Common::TimePoint now) const;
+  bool IsHallIncomplete(Common::TimePoint now) const;
   bool IsLinkNarrow(Common::TimePoint now) const;
   // Whether no source has sent anything for so long that the own link is to blame.
-  bool IsOwnLinkSilent(Common::TimePoint now) const;
+  bool IsLocalLinkSilent(Common::TimePoint now) const;
   // How long a source may owe a piece.
   Common::Duration StallTime(Common::TimePoint now) const;
-  void Hold(std::uint32_t piece, const Common::Bytes& data, Common::TimePoint now,
-            Actions* actions);
+  void AddVerifiedPiece(std::uint32_t piece, const Common::Bytes& data, Common::TimePoint now,
+                        Actions* actions);
   void DoubtManifest(std::uint32_t piece, Common::TimePoint now, Actions* actions);
-  Announcement WholeAnnouncement(bool wants_reply) const;
+  Announcement FullAnnouncement(bool wants_reply) const;
   void ComputeRanks();
 
   Common::Digest m_version;
@@ -278,35 +279,35 @@
   std::vector<Fetcher> m_fetchers;
   // Instances that want the version, by hall.
   std::map<std::string, std::vector<std::string>> m_halls;
-  std::map<std::string, std::string> m_hall_of;
+  std::map<std::string, std::string> m_hall_by_instance;
   // For each piece, how many fetch it from the origin before this one.
   std::vector<std::uint32_t> m_ranks;
   // Who brings in what, by hall.
-  std::map<std::string, Deal> m_deals;
+  std::map<std::string, PieceAssignment> m_assignments;
   // For each piece, how many of the hall bring it in before this one, and the order that follows.
   std::vector<std::uint32_t> m_hall_ranks;
   std::vector<std::uint32_t> m_outside_order;
   // When another hall was first seen to have the piece.
-  std::vector<Common::TimePoint> m_seen_outside_at;
+  std::vector<Common::TimePoint> m_available_outside_at;
   // When a neighbour last said that it is bringing the piece in.
   std::vector<Common::TimePoint> m_claimed_at;
   // The plan for drawing from the origin: when it begins, and each piece's place in it.
-  Common::TimePoint m_plan_begin{};
+  Common::TimePoint m_plan_start{};
   std::vector<std::uint32_t> m_plan_position;
   // When a piece last came into the hall.
-  Common::TimePoint m_origin_fetched_at{};
+  Common::TimePoint m_last_piece_in_hall_at{};
   // The end of what came from the origin, in the plan's order, and how late the origin is.
-  std::uint32_t m_fetched_end = 0;
-  Common::Duration m_origin_late{};
+  std::uint32_t m_plan_fetched_end = 0;
+  Common::Duration m_origin_delay{};
   // When a piece that waits for its turn may be brought in.
-  Common::TimePoint m_next_turn = Common::TimePoint::max();
-  Common::TimePoint m_greet_due{};
-  Common::TimePoint m_origin_hall_seen{};
+  Common::TimePoint m_next_turn_start = Common::TimePoint::max();
+  Common::TimePoint m_resync_due{};
+  Common::TimePoint m_origin_hall_contact_at{};
   // When another hall was last seen to have a piece that is new here.
-  Common::TimePoint m_last_outside_sight{};
+  Common::TimePoint m_last_outside_availability_at{};
   bool m_has_taken_over = false;
   // This hall had taken over, and has left the origin to the origin's hall since it came back.
-  bool m_has_yielded = false;
+  bool m_has_yielded_to_origin_hall = false;
   Common::TimePoint m_last_arrival{};
   std::uint32_t m_manifest_rank = 0;
   std::uint32_t m_manifest_rank_in_hall = 0;
@@ -320,13 +321,13 @@
   std::uint32_t m_platform_outstanding = 0;
   std::uint32_t m_manifest_in_flight = 0;
   std::array<SourceState, PLATFORM_SOURCES> m_sources;
-  std::optional<Common::TimePoint> m_last_new_sight;
+  std::optional<Common::TimePoint> m_last_availability_at;
   // The last copy of the manifest from the origin, until a second one is the same.
   Common::Bytes m_manifest_copy;
   // Corrupt copies from the origin of each piece, since the manifest came.
   std::map<std::uint32_t, std::uint32_t> m_corrupt_from_origin;
   bool m_is_manifest_doubted = false;
   // Held under the manifest that is doubted; looked at anew under the next one.
-  std::vector<Common::Bytes> m_doubted_pieces;
+  std::vector<Common::Bytes> m_pieces_to_reverify;
 };
 } // namespace Holdpost::Distribution
--- a/Source/Core/Distribution/SwarmHalls.cpp
+++ b/Source/Core/Distribution/SwarmHalls.cpp
@@ -17,56 +17,56 @@
 using Common::TimePoint;
 
 // News that was lost on the way is made up for after so long.
-static constexpr Milliseconds GREET_PERIOD = Milliseconds(700);
-static constexpr std::size_t GREETED_PER_HALL = 2;
+static constexpr Milliseconds RESYNC_PERIOD = Milliseconds(700);
+static constexpr std::size_t RESYNC_PEERS_PER_HALL = 2;
 // Times the patience that other halls wait for the origin's hall, while it answers and when it does
 // not. One that answers brings pieces as soon as the origin has any: halls that took over from it
 // in an outage of 6 s fetched the same pieces again when the origin was back, three times each.
-static constexpr int WAIT_FOR_ANSWERING = 20;
-static constexpr int WAIT_FOR_SILENT = 2;
+static constexpr int REACHABLE_HALL_PATIENCES = 20;
+static constexpr int SILENT_HALL_PATIENCES = 2;
 // Turns that the origin's hall has for the manifest before others fetch it.
-static constexpr std::uint32_t MANIFEST_TURNS_ELSEWHERE = 2;
-static constexpr Milliseconds SILENT_AFTER = Milliseconds(1500);
+static constexpr std::uint32_t MANIFEST_EXTRA_TURNS = 2;
+static constexpr Milliseconds HALL_SILENT_AFTER = Milliseconds(1500);
 // Members of the next hall that are told of a piece: the one that brings it in, and those that come
 // after it.
-static constexpr std::size_t TOLD_OF_A_PIECE = 3;
+static constexpr std::size_t ANNOUNCED_MEMBERS = 3;
 // The next member may bring a piece in after so many times of what a piece takes, and this at
 // least.
-static constexpr int TURN_PIECES = 16;
-static constexpr Duration TURN_LEAST = Milliseconds(150);
+static constexpr int TURN_PIECE_TIMES = 16;
+static constexpr Duration MIN_TURN = Milliseconds(150);
 // When nothing has come into the hall for so many times of what a piece takes, and this at least,
 // the source is taken to be down.
-static constexpr int OUTAGE_PIECES = 16;
-static constexpr Duration OUTAGE_LEAST = Milliseconds(1000);
+static constexpr int OUTAGE_PIECE_TIMES = 16;
+static constexpr Duration MIN_OUTAGE = Milliseconds(1000);
 // More doublings would not fit into a time.
-static constexpr std::uint32_t PROBE_RANK_MOST = 12;
+static constexpr std::uint32_t MAX_PROBE_RANK = 12;
 
 void Swarm::ComputeRanks()
 {
-  std::vector<std::string> everyone;
+  std::vector<std::string> all_instances;
   for (const Fetcher& fetcher : m_fetchers)
-    everyone.push_back(fetcher.instance);
+    all_instances.push_back(fetcher.instance);
   const std::uint32_t count = m_manifest ? m_manifest->PieceCount() : 1;
-  m_ranks = RankPieces(m_version, count, m_self.instance, everyone);
+  m_ranks = RankPieces(m_version, count, m_self.instance, all_instances);
   m_manifest_rank = m_ranks.front();
   if (!m_options.shares_crossings)
     return;
-  m_deals.clear();
+  m_assignments.clear();
   for (const auto& [hall, others] : m_halls)
   {
     std::vector<std::string> members = others;
     if (hall == m_self.hall && std::ranges::find(members, m_self.instance) == members.end())
       members.push_back(m_self.instance);
-    m_deals[hall] = Deal(m_version, members);
+    m_assignments[hall] = PieceAssignment(m_version, members);
   }
   m_hall_ranks.clear();
   for (std::uint32_t piece = 0; piece < count; ++piece)
-    m_hall_ranks.push_back(m_deals[m_self.hall].RankOf(m_self.instance, piece));
+    m_hall_ranks.push_back(m_assignments[m_self.hall].RankOf(m_self.instance, piece));
   // Those in the origin's hall fetch the manifest first.
   m_manifest_rank_in_hall = m_hall_ranks.front();
   m_manifest_rank = m_hall_ranks.front();
   if (!IsInOriginHall())
-    m_manifest_rank += MANIFEST_TURNS_ELSEWHERE;
+    m_manifest_rank += MANIFEST_EXTRA_TURNS;
   m_outside_order.resize(count);
   std::iota(m_outside_order.begin(), m_outside_order.end(), 0U);
   std::ranges::stable_sort(m_outside_order, {},
@@ -75,8 +75,8 @@
 
 bool Swarm::IsInOtherHall(const std::string& peer) const
 {
-  const auto found = m_hall_of.find(peer);
-  return found != m_hall_of.end() && found->second != m_self.hall;
+  const auto found = m_hall_by_instance.find(peer);
+  return found != m_hall_by_instance.end() && found->second != m_self.hall;
 }
 
 bool Swarm::IsInOriginHall() const
@@ -84,27 +84,27 @@
   return m_options.origin_hall.empty() || m_options.origin_hall == m_self.hall;
 }
 
-void Swarm::Greet(TimePoint now, Actions* actions)
+void Swarm::ResyncHoldings(TimePoint now, Actions* actions)
 {
-  m_greet_due = now + GREET_PERIOD;
+  m_resync_due = now + RESYNC_PERIOD;
   for (auto& [hall, names] : m_halls)
   {
     if (hall == m_self.hall)
       continue;
     // Others each time, as some may be out of reach.
     const auto seed = static_cast<std::uint32_t>(m_random());
-    for (const std::string& name : FirstForPiece(m_version, seed, names, GREETED_PER_HALL))
-      TellWhole(name, true, actions);
+    for (const std::string& name : TopRankedForPiece(m_version, seed, names, RESYNC_PEERS_PER_HALL))
+      SendFullAnnouncement(name, true, actions);
   }
   if (m_neighbours.empty())
     return;
-  const auto some = std::next(m_neighbours.begin(),
-                              static_cast<std::ptrdiff_t>(m_random() % m_neighbours.size()));
-  if (!some->second.is_remote)
-    TellWhole(some->first, true, actions);
+  const auto random_neighbour = std::next(
+      m_neighbours.begin(), static_cast<std::ptrdiff_t>(m_random() % m_neighbours.size()));
+  if (!random_neighbour->second.is_remote)
+    SendFullAnnouncement(random_neighbour->first, true, actions);
 }
 
-void Swarm::TellNextHall(std::uint32_t piece, bool is_from_origin, Actions* actions)
+void Swarm::AnnounceToNextHall(std::uint32_t piece, bool is_from_origin, Actions* actions)
 {
   if (m_halls.empty())
     return;
@@ -112,10 +112,10 @@
   auto next = m_halls.upper_bound(m_self.hall);
   if (next == m_halls.end())
     next = m_halls.begin();
-  const bool is_round = next->first == m_options.origin_hall && !is_from_origin;
-  if (next->first == m_self.hall || is_round)
+  const bool closes_ring = next->first == m_options.origin_hall && !is_from_origin;
+  if (next->first == m_self.hall || closes_ring)
     return;
-  for (const std::string& name : m_deals[next->first].First(piece, TOLD_OF_A_PIECE))
+  for (const std::string& name : m_assignments[next->first].FirstMembers(piece, ANNOUNCED_MEMBERS))
   {
     actions->push_back(
         SendAnnouncement{name, {m_version, m_held.Size(), false, false, "", {piece}, {}}});
@@ -132,7 +132,7 @@
 {
   for (const auto& [name, neighbour] : m_neighbours)
   {
-    if (neighbour.is_told && !neighbour.is_remote)
+    if (neighbour.knows_local_holdings && !neighbour.is_remote)
     {
       actions->push_back(
           SendAnnouncement{name, {m_version, m_held.Size(), false, false, "", {}, {piece}}});
@@ -140,7 +140,7 @@
   }
 }
 
-std::uint32_t Swarm::OpenOutside() const
+std::uint32_t Swarm::OpenOutsideFetches() const
 {
   return static_cast<std::uint32_t>(std::ranges::count_if(
       m_fetches,
@@ -154,83 +154,83 @@
 bool Swarm::IsOriginHallIdle(TimePoint now)
 {
   // Its members bring pieces to it; as long as they answer they are given more time.
-  const bool is_answering = now - m_origin_hall_seen < SILENT_AFTER;
+  const bool is_answering = now - m_origin_hall_contact_at < HALL_SILENT_AFTER;
   // What the own hall brings in meanwhile does not count.
-  const Duration waited = now - std::max(m_last_outside_sight, m_view_confirmed_at);
-  const bool is_idle =
-      waited >= (is_answering ? WAIT_FOR_ANSWERING : WAIT_FOR_SILENT) * m_options.patience;
+  const Duration waited = now - std::max(m_last_outside_availability_at, m_view_confirmed_at);
+  const bool is_idle = waited >= (is_answering ? REACHABLE_HALL_PATIENCES : SILENT_HALL_PATIENCES) *
+                                     m_options.patience;
   // Who has taken over goes on until the origin's hall answers again.
   m_has_taken_over = is_idle || (m_has_taken_over && !is_answering);
   return m_has_taken_over;
 }
 
-TimePoint Swarm::TurnAt(std::uint32_t piece) const
+TimePoint Swarm::TurnStart(std::uint32_t piece) const
 {
-  const Duration turn = std::max<Duration>(TURN_PIECES * m_options.piece_time, TURN_LEAST);
+  const Duration turn = std::max<Duration>(TURN_PIECE_TIMES * m_options.piece_time, MIN_TURN);
   const Duration wait = m_hall_ranks[piece] * turn;
-  const bool is_in_other_hall = m_seen_outside_at[piece] != TimePoint();
+  const bool is_in_other_hall = m_available_outside_at[piece] != TimePoint();
   if (!IsInOriginHall() && is_in_other_hall)
-    return m_seen_outside_at[piece] + wait;
+    return m_available_outside_at[piece] + wait;
   // The origin sends one piece after the other, so that the first ones are passed on early. If it
   // is slower than planned, that is not the fault of those whose turn it was.
-  const Duration late = m_hall_ranks[piece] > 0 ? m_origin_late : Duration::zero();
-  return PlannedFetch(piece) + late + wait;
+  const Duration origin_delay = m_hall_ranks[piece] > 0 ? m_origin_delay : Duration::zero();
+  return PlannedFetchAt(piece) + origin_delay + wait;
 }
 
-TimePoint Swarm::PlannedFetch(std::uint32_t piece) const
+TimePoint Swarm::PlannedFetchAt(std::uint32_t piece) const
 {
-  return m_plan_begin + m_plan_position[piece] * m_options.origin_piece_time;
+  return m_plan_start + m_plan_position[piece] * m_options.origin_piece_time;
 }
 
 void Swarm::PlanFetches(TimePoint now)
 {
-  m_plan_begin = now;
-  m_fetched_end = 0;
-  m_origin_late = Duration::zero();
+  m_plan_start = now;
+  m_plan_fetched_end = 0;
+  m_origin_delay = Duration::zero();
   m_plan_position.assign(m_held.Size(), 0);
   std::uint32_t next = 0;
   for (std::uint32_t piece = 0; piece < m_held.Size(); ++piece)
   {
-    if (IsUnseen(piece))
+    if (IsUnavailable(piece))
       m_plan_position[piece] = next++;
   }
 }
 
-Duration Swarm::OutageFor(TimePoint now) const
+Duration Swarm::OriginOutage(TimePoint now) const
 {
   const Duration down_after =
-      std::max<Duration>(OUTAGE_PIECES * m_options.piece_time, OUTAGE_LEAST);
-  return now - std::max(m_origin_fetched_at, m_plan_begin) - down_after;
+      std::max<Duration>(OUTAGE_PIECE_TIMES * m_options.piece_time, MIN_OUTAGE);
+  return now - std::max(m_last_piece_in_hall_at, m_plan_start) - down_after;
 }
 
-bool Swarm::MayFetchForHall(TimePoint now) const
+bool Swarm::MayProbeOrigin(TimePoint now) const
 {
-  const Duration outage = OutageFor(now);
+  const Duration outage = OriginOutage(now);
   if (outage < Duration::zero())
     return true;
   for (std::uint32_t piece = 0; piece < m_held.Size(); ++piece)
   {
-    if (!IsUnseen(piece))
+    if (!IsUnavailable(piece))
       continue;
-    const std::uint32_t rank = std::min(m_hall_ranks[piece], PROBE_RANK_MOST);
-    return outage >= ((1U << rank) - 1) * OUTAGE_LEAST;
+    const std::uint32_t rank = std::min(m_hall_ranks[piece], MAX_PROBE_RANK);
+    return outage >= ((1U << rank) - 1) * MIN_OUTAGE;
   }
   return true;
 }
 
-bool Swarm::OnFetchedFromOrigin(std::uint32_t piece, TimePoint now)
+bool Swarm::OnPieceInHall(std::uint32_t piece, TimePoint now)
 {
-  const bool was_down = OutageFor(now) >= Duration::zero();
-  m_origin_fetched_at = now;
+  const bool was_down = OriginOutage(now) >= Duration::zero();
+  m_last_piece_in_hall_at = now;
   SourceState& origin = StateOf(PlatformSource::Origin);
   if (was_down)
   {
     PlanFetches(now);
     // The origin's hall is told of it, too, and comes first.
-    if (!std::exchange(m_has_yielded, true))
-      m_last_outside_sight = now;
+    if (!std::exchange(m_has_yielded_to_origin_hall, true))
+      m_last_outside_availability_at = now;
   }
-  else if (m_plan_position[piece] < m_fetched_end)
+  else if (m_plan_position[piece] < m_plan_fetched_end)
   {
     return false;
   }
@@ -239,12 +239,12 @@
   origin.blocked_until = std::min(origin.blocked_until, now);
   if (was_down)
     return true;
-  m_fetched_end = m_plan_position[piece] + 1;
-  m_origin_late = std::max(m_origin_late, now - PlannedFetch(piece));
+  m_plan_fetched_end = m_plan_position[piece] + 1;
+  m_origin_delay = std::max(m_origin_delay, now - PlannedFetchAt(piece));
   return false;
 }
 
-void Swarm::TellWholeHall(std::uint32_t piece, Actions* actions)
+void Swarm::AnnounceToHall(std::uint32_t piece, Actions* actions)
 {
   for (const std::string& name : m_halls[m_self.hall])
   {
@@ -254,26 +254,26 @@
   }
 }
 
-std::optional<std::string> Swarm::OutsideSource(std::uint32_t piece, bool may_use_origin,
-                                                TimePoint now)
+std::optional<std::string> Swarm::SelectOutsideSource(std::uint32_t piece, bool may_use_origin,
+                                                      TimePoint now)
 {
-  if (const TimePoint turn = TurnAt(piece); now < turn)
+  if (const TimePoint turn = TurnStart(piece); now < turn)
   {
-    m_next_turn = std::min(m_next_turn, turn);
+    m_next_turn_start = std::min(m_next_turn_start, turn);
     return std::nullopt;
   }
   if (IsInOriginHall() && may_use_origin)
     return "";
   std::string best;
-  std::uint32_t least = 0;
+  std::uint32_t min_outstanding = 0;
   for (const auto& [name, neighbour] : m_neighbours)
   {
-    if (!neighbour.is_remote || !neighbour.held.Contains(piece) || !MayAsk(neighbour, now))
+    if (!neighbour.is_remote || !neighbour.held.Contains(piece) || !MayRequestFrom(neighbour, now))
       continue;
-    if (best.empty() || neighbour.outstanding < least)
+    if (best.empty() || neighbour.outstanding < min_outstanding)
     {
       best = name;
-      least = neighbour.outstanding;
+      min_outstanding = neighbour.outstanding;
     }
   }
   if (!best.empty())
@@ -283,23 +283,23 @@
   return std::nullopt;
 }
 
-void Swarm::PumpOutside(TimePoint now, Actions* actions)
+void Swarm::ScheduleOutsideFetches(TimePoint now, Actions* actions)
 {
-  std::uint32_t open = OpenOutside();
-  const std::uint32_t window = IsLinkNarrow(now) ? 1 : m_options.window_of_outside;
+  std::uint32_t open = OpenOutsideFetches();
+  const std::uint32_t window = IsLinkNarrow(now) ? 1 : m_options.outside_window;
   // The same for all pieces, and looked up only if one is asked for.
   std::optional<bool> may_use_origin;
   for (const std::uint32_t piece : m_outside_order)
   {
     if (open >= window)
       return;
-    if (m_held.Contains(piece) || m_in_flight[piece] > 0 || IsWithinReach(piece) ||
+    if (m_held.Contains(piece) || m_in_flight[piece] > 0 || IsAvailableNearby(piece) ||
         IsClaimed(piece, now))
       continue;
     if (!may_use_origin)
       may_use_origin =
-          MayUseOrigin(now) && (IsInOriginHall() || IsOriginHallIdle(now)) && MayFetchForHall(now);
-    const auto source = OutsideSource(piece, *may_use_origin, now);
+          MayUseOrigin(now) && (IsInOriginHall() || IsOriginHallIdle(now)) && MayProbeOrigin(now);
+    const auto source = SelectOutsideSource(piece, *may_use_origin, now);
     if (!source)
       continue;
     // Who comes after is told, the others wait for their turn.
@@ -310,26 +310,27 @@
   }
 }
 
-std::uint32_t Swarm::WindowInAll(TimePoint now) const
+std::uint32_t Swarm::TotalWindow(TimePoint now) const
 {
   if (!m_options.adapts_window)
     return m_options.window_in_all;
-  const std::uint32_t usual =
-      m_shared->lacking.empty() ? m_options.window_in_all
-                                : std::min(m_options.window_while_lacking, m_options.window_in_all);
-  const std::uint32_t window = IsLinkNarrow(now) ? 1 : usual;
+  const std::uint32_t configured =
+      m_shared->incomplete_in_hall.empty()
+          ? m_options.window_in_all
+          : std::min(m_options.window_while_lacking, m_options.window_in_all);
+  const std::uint32_t window = IsLinkNarrow(now) ? 1 : configured;
   // What is brought in from outside fills the link too.
   const std::uint32_t outside = m_platform_outstanding;
   return window > outside ? window - outside : 1;
 }
 
-bool Swarm::IsLacking(TimePoint now) const
+bool Swarm::IsHallIncomplete(TimePoint now) const
 {
   if (!m_options.shares_crossings || IsHeld())
     return false;
   if (!m_manifest)
-    return now - m_view_confirmed_at < OUTAGE_LEAST;
-  return PiecesUnseen() > 0 && OutageFor(now) < Duration::zero();
+    return now - m_view_confirmed_at < MIN_OUTAGE;
+  return PiecesUnseen() > 0 && OriginOutage(now) < Duration::zero();
 }
 
 bool Swarm::IsLinkNarrow(TimePoint now) const
@@ -337,27 +338,28 @@
   return m_options.adapts_window && m_shared->downloads.IsNarrow(now);
 }
 
-bool Swarm::IsOwnLinkSilent(TimePoint now) const
+bool Swarm::IsLocalLinkSilent(TimePoint now) const
 {
-  std::set<std::string> owing;
-  TimePoint first = now;
+  std::set<std::string> pending_sources;
+  TimePoint first_start = now;
   for (const auto& [id, fetch] : m_fetches)
   {
-    owing.insert(fetch.peer);
-    first = std::min(first, fetch.started);
+    pending_sources.insert(fetch.peer);
+    first_start = std::min(first_start, fetch.started);
   }
-  return owing.size() > 1 && now - std::max(first, m_last_arrival) >= m_options.stall;
+  return pending_sources.size() > 1 &&
+         now - std::max(first_start, m_last_arrival) >= m_options.stall;
 }
 
 Duration Swarm::StallTime(TimePoint now) const
 {
   // Pieces that share a narrow link take long, through no fault of those who send them.
-  static constexpr int TIMES = 3;
-  const bool is_slow = m_options.adapts_window && (IsLinkNarrow(now) || IsOwnLinkSilent(now));
-  return is_slow ? TIMES * m_options.stall : m_options.stall;
+  static constexpr int NARROW_LINK_FACTOR = 3;
+  const bool is_slow = m_options.adapts_window && (IsLinkNarrow(now) || IsLocalLinkSilent(now));
+  return is_slow ? NARROW_LINK_FACTOR * m_options.stall : m_options.stall;
 }
 
-void Swarm::PumpSlow(TimePoint now, Actions* actions)
+void Swarm::ScheduleSlowHedges(TimePoint now, Actions* actions)
 {
   // A second copy would only make a narrow link slower.
   if (IsLinkNarrow(now))
@@ -372,9 +374,9 @@
   }
   for (const Fetch& fetch : slow)
   {
-    if (m_fetches.size() > WindowInAll(now))
+    if (m_fetches.size() > TotalWindow(now))
       return;
-    const std::string source = BestSource(fetch.piece, now, fetch.peer);
+    const std::string source = SelectPeer(fetch.piece, now, fetch.peer);
     if (source.empty())
       continue;
     actions->push_back(CountTransfer{TransferEvent::Hedge});
--- a/Source/UnitTests/Core/Distribution/UploadsTest.cpp
+++ b/Source/UnitTests/Core/Distribution/UploadsTest.cpp
@@ -21,7 +21,7 @@
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 64, Milliseconds(1000));
-  uploads.SetUnconfirmedMost(2, Milliseconds(30));
+  uploads.SetMaxUnconfirmed(2, Milliseconds(30));
   Actions actions;
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, Common::MakeBytes(std::string(1000, 'x')), false, START, &actions);
@@ -49,7 +49,7 @@
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 2, Milliseconds(1000));
-  uploads.SetUnconfirmedMost(1, Milliseconds(30));
+  uploads.SetMaxUnconfirmed(1, Milliseconds(30));
   Actions actions;
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, Common::MakeBytes("x"), false, START, &actions);
@@ -66,7 +66,7 @@
 {
   Uploads uploads;
   uploads.SetLimits(1'000'000, LinkPacing::Wire, 3, Milliseconds(300));
-  uploads.SetUnconfirmedMost(1, Milliseconds(1));
+  uploads.SetMaxUnconfirmed(1, Milliseconds(1));
   Actions actions;
   for (RequestTag tag = 1; tag <= 3; ++tag)
     uploads.Add(tag, Common::MakeBytes(std::string(1000, 'x')), false, START, &actions);
@@ -85,7 +85,7 @@
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 64, Milliseconds(1000));
-  uploads.SetUnconfirmedMost(4, Milliseconds(30));
+  uploads.SetMaxUnconfirmed(4, Milliseconds(30));
   Actions actions;
   Common::TimePoint now = START;
   for (RequestTag tag = 1; tag <= 4; ++tag)
@@ -101,15 +101,15 @@
   {
     for (RequestTag tag = 5; tag <= 8; ++tag)
       uploads.Add(tag, Common::MakeBytes("x"), false, now, &actions);
-    std::deque<RequestTag> on_the_way = {1, 2, 3, 4};
-    while (!on_the_way.empty())
+    std::deque<RequestTag> in_flight = {1, 2, 3, 4};
+    while (!in_flight.empty())
     {
       now += Milliseconds(275);
-      uploads.Remove(on_the_way.front(), now);
-      on_the_way.pop_front();
+      uploads.Remove(in_flight.front(), now);
+      in_flight.pop_front();
       uploads.Advance(now, &actions);
       for (const AnswerPiece& answer : Take<AnswerPiece>(actions))
-        on_the_way.push_back(answer.tag);
+        in_flight.push_back(answer.tag);
     }
   }
   for (RequestTag tag = 21; tag <= 24; ++tag)
@@ -121,51 +121,51 @@
 
 TEST_CASE("A link is narrow when all transfers on it are slow")
 {
-  LinkWatch watch;
-  watch.SetPieceTime(Milliseconds(30));
+  LinkTracker tracker;
+  tracker.SetPieceTime(Milliseconds(30));
   Common::TimePoint now = START;
-  const auto transfers = [&](std::initializer_list<int> times, std::size_t at_once)
+  const auto transfers = [&](std::initializer_list<int> times, std::size_t concurrent)
   {
     for (const int ms : times)
     {
       now += Milliseconds(100);
-      watch.OnTransfer(Milliseconds(ms), at_once, now);
+      tracker.OnTransfer(Milliseconds(ms), concurrent, now);
     }
   };
   SUBCASE("a few are needed to tell")
   {
     transfers({500, 600}, 1);
-    CHECK_FALSE(watch.IsNarrow(now));
+    CHECK_FALSE(tracker.IsNarrow(now));
     transfers({450}, 1);
-    CHECK(watch.IsNarrow(now));
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(450));
+    CHECK(tracker.IsNarrow(now));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
   SUBCASE("one fast one may have been on the way before")
   {
     transfers({500, 600, 450, 60}, 1);
-    CHECK(watch.IsNarrow(now));
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(450));
+    CHECK(tracker.IsNarrow(now));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
   SUBCASE("two show that it is not")
   {
     transfers({500, 600, 450, 60, 60}, 1);
-    CHECK_FALSE(watch.IsNarrow(now));
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(0));
+    CHECK_FALSE(tracker.IsNarrow(now));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(0));
   }
   SUBCASE("both ends of a good link may share it")
   {
     transfers({180, 180, 180, 180}, 1);
     transfers({320, 320, 320, 320}, 5);
-    CHECK_FALSE(watch.IsNarrow(now));
+    CHECK_FALSE(tracker.IsNarrow(now));
   }
   SUBCASE("those that share a narrow one take as many times as long")
   {
     transfers({1500, 1500, 1500}, 5);
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(300));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(300));
   }
   SUBCASE("what was seen long ago says nothing")
   {
     transfers({500, 600, 450}, 1);
-    CHECK_FALSE(watch.IsNarrow(now + Milliseconds(11000)));
+    CHECK_FALSE(tracker.IsNarrow(now + Milliseconds(11000)));
   }
 }
--- a/Source/UnitTests/Core/DistributionTest.cpp
+++ b/Source/UnitTests/Core/DistributionTest.cpp
@@ -77,9 +77,9 @@
   for (const std::string& name : names)
   {
     const auto ranks = RankPieces(version, 200, name, names);
-    const auto own = std::ranges::count(ranks, 0U);
-    CHECK(own > 2);
-    CHECK(own < 30);
+    const auto own_pieces = std::ranges::count(ranks, 0U);
+    CHECK(own_pieces > 2);
+    CHECK(own_pieces < 30);
     for (std::size_t piece = 0; piece < 200; ++piece)
       first[piece] += ranks[piece] == 0 ? 1 : 0;
   }
@@ -91,24 +91,25 @@
 {
   const Common::Digest version = Common::Sha256("v");
   std::vector<std::string> names = MakeNames(16);
-  const Deal deal(version, names);
+  const PieceAssignment assignment(version, names);
   std::ranges::reverse(names);
-  const Deal same(version, names);
+  const PieceAssignment same(version, names);
   std::map<std::string, int> first;
   for (std::uint32_t piece = 0; piece < 96; ++piece)
   {
-    const std::vector<std::string> order = deal.First(piece, 3);
+    const std::vector<std::string> order = assignment.FirstMembers(piece, 3);
     REQUIRE(order.size() == 3);
-    CHECK(order == same.First(piece, 3));
+    CHECK(order == same.FirstMembers(piece, 3));
     for (std::uint32_t rank = 0; rank < 3; ++rank)
-      CHECK(deal.RankOf(order[rank], piece) == rank);
+      CHECK(assignment.RankOf(order[rank], piece) == rank);
     ++first[order[0]];
   }
   for (const auto& [name, count] : first)
     CHECK(count == 6);
   // One that nobody knows of comes after all others.
-  CHECK(deal.RankOf("stranger", 5) == 16);
-  CHECK(Deal(version, {"alone"}).First(7, 3) == std::vector<std::string>{"alone"});
+  CHECK(assignment.RankOf("stranger", 5) == 16);
+  CHECK(PieceAssignment(version, {"alone"}).FirstMembers(7, 3) ==
+        std::vector<std::string>{"alone"});
 }
 
 TEST_CASE("Neighbours")
@@ -118,7 +119,7 @@
     all.push_back({name, all.size() < 96 ? "oslo-a" : "bergen-a", {}});
   const Common::Digest version = Common::Sha256("v");
   std::map<std::string, std::vector<std::string>> chosen;
-  for (const auto& [name, hall, wants] : all)
+  for (const auto& [name, hall, wanted_version] : all)
     chosen[name] = ChooseNeighbours(version, name, hall, all, 16);
 
   SUBCASE("are bounded, and both ends choose each other")
--- a/Source/UnitTests/Core/SwarmTest.cpp
+++ b/Source/UnitTests/Core/SwarmTest.cpp
@@ -41,7 +41,7 @@
     }
     return fetches;
   }
-  Bytes Right(const FetchPiece& fetch) const
+  Bytes ExpectedBytes(const FetchPiece& fetch) const
   {
     return fetch.piece == MANIFEST_PIECE ? manifest : pieces[fetch.piece];
   }
@@ -49,13 +49,13 @@
   {
     swarm->OnFetched(fetch.id, result, now, &actions);
   }
-  void Pass(Common::Duration time)
+  void AdvanceTime(Common::Duration time)
   {
     now += time;
     swarm->OnTick(now, &actions);
   }
   // Gets the manifest from the origin, with `others` as fetchers and neighbours.
-  void GetManifest(const std::vector<std::string>& others)
+  void FetchManifest(const std::vector<std::string>& others)
   {
     std::vector<Fetcher> fetchers;
     fetchers.reserve(others.size());
@@ -67,7 +67,7 @@
     {
       for (const FetchPiece& fetch : Fetches())
         Answer(fetch, manifest);
-      Pass(Milliseconds(100));
+      AdvanceTime(Milliseconds(100));
     }
   }
   void Announce(const std::string& peer, const std::vector<std::uint32_t>& held)
@@ -93,28 +93,28 @@
 
   SUBCASE("fetches nothing before its view is confirmed")
   {
-    f.Pass(Milliseconds(1000));
+    f.AdvanceTime(Milliseconds(1000));
     CHECK(f.Fetches().empty());
   }
   SUBCASE("fetches all once its patience is over")
   {
-    f.Pass(Milliseconds(100));
-    f.Pass(Milliseconds(1500));
+    f.AdvanceTime(Milliseconds(100));
+    f.AdvanceTime(Milliseconds(1500));
     CHECK(f.Fetches().size() == 1);
   }
   SUBCASE("has no turn left from the manifest once it has come, so that nothing wakes it in vain")
   {
-    f.GetManifest({});
-    f.Pass(Milliseconds(100));
-    CHECK(f.swarm->NextTurn() > f.now);
+    f.FetchManifest({});
+    f.AdvanceTime(Milliseconds(100));
+    CHECK(f.swarm->NextTurnStart() > f.now);
   }
   SUBCASE("fetches all at once with a confirmed view, and holds the version when all is verified")
   {
-    f.GetManifest({});
+    f.FetchManifest({});
     for (int round = 0; round < 10 && !f.has_version; ++round)
     {
       for (const FetchPiece& fetch : f.Fetches())
-        f.Answer(fetch, f.Right(fetch));
+        f.Answer(fetch, f.ExpectedBytes(fetch));
     }
     CHECK(f.has_version);
     CHECK(f.swarm->IsHeld());
@@ -124,7 +124,7 @@
 TEST_CASE("Pieces are verified before they count")
 {
   Fixture f;
-  f.GetManifest({"peer"});
+  f.FetchManifest({"peer"});
   f.Fetches();
   f.Announce("peer", {0, 1, 2, 3, 4, 5, 6, 7});
   auto fetches = f.Fetches();
@@ -139,7 +139,7 @@
   }
   SUBCASE("so is one of the wrong length")
   {
-    f.Answer(fetches[0], Common::MakeBytes(f.Right(fetches[0])->substr(1)));
+    f.Answer(fetches[0], Common::MakeBytes(f.ExpectedBytes(fetches[0])->substr(1)));
     CHECK(f.swarm->PiecesHeld() == 0);
   }
   SUBCASE("a peer that repeats it is shunned")
@@ -148,14 +148,14 @@
     f.Answer(fetches[1], Common::MakeBytes("x"));
     f.Fetches();
     f.Announce("peer", {0, 1, 2, 3, 4, 5, 6, 7});
-    f.Pass(Milliseconds(1000));
+    f.AdvanceTime(Milliseconds(1000));
     for (const FetchPiece& fetch : f.Fetches())
       CHECK(fetch.peer != "peer");
   }
   SUBCASE("an answer to a fetch that was cancelled is dropped")
   {
     f.swarm->OnPeerLost("peer", f.now, &f.actions);
-    f.Answer(fetches[0], f.Right(fetches[0]));
+    f.Answer(fetches[0], f.ExpectedBytes(fetches[0]));
     CHECK(f.swarm->PiecesHeld() == 0);
   }
 }
@@ -163,7 +163,7 @@
 TEST_CASE("A source that stalls")
 {
   Fixture f;
-  f.GetManifest({"slow", "good"});
+  f.FetchManifest({"slow", "good"});
   f.Fetches();
   f.Announce("slow", {0, 1, 2, 3, 4, 5, 6, 7});
   auto fetches = f.Fetches();
@@ -172,10 +172,10 @@
 
   SUBCASE("is judged by progress: while pieces come, the rest may take its time")
   {
-    f.Pass(Milliseconds(2900));
-    f.Answer(fetches[0], f.Right(fetches[0]));
+    f.AdvanceTime(Milliseconds(2900));
+    f.Answer(fetches[0], f.ExpectedBytes(fetches[0]));
     f.actions.clear();
-    f.Pass(Milliseconds(2900));
+    f.AdvanceTime(Milliseconds(2900));
     for (const Action& action : f.actions)
       CHECK_FALSE(std::holds_alternative<CancelFetch>(action));
   }
@@ -183,7 +183,7 @@
   {
     f.Announce("good", {0, 1, 2, 3, 4, 5, 6, 7});
     f.Fetches();
-    f.Pass(Milliseconds(3000));
+    f.AdvanceTime(Milliseconds(3000));
     const auto again = f.Fetches();
     REQUIRE(!again.empty());
     for (const FetchPiece& fetch : again)
@@ -194,7 +194,7 @@
 TEST_CASE("A source that says when to come back is left alone until then")
 {
   Fixture f;
-  f.GetManifest({});
+  f.FetchManifest({});
   // First the weight store, then the origin asks to be left alone.
   for (const PlatformSource source : {PlatformSource::Store, PlatformSource::Origin})
   {
@@ -207,9 +207,9 @@
     }
   }
   CHECK(f.Fetches().empty());
-  f.Pass(Milliseconds(600));
+  f.AdvanceTime(Milliseconds(600));
   CHECK(f.Fetches().empty());
-  f.Pass(Milliseconds(100));
+  f.AdvanceTime(Milliseconds(100));
   CHECK(!f.Fetches().empty());
 }
 
@@ -225,9 +225,9 @@
   f.swarm->SetPeers({}, {}, f.now, &f.actions);
   for (int i = 0; i < 200 && !f.swarm->IsHeld(); ++i)
   {
-    f.Pass(Milliseconds(100));
+    f.AdvanceTime(Milliseconds(100));
     for (const FetchPiece& fetch : f.Fetches())
-      f.Answer(fetch, f.Right(fetch));
+      f.Answer(fetch, f.ExpectedBytes(fetch));
   }
   CHECK(f.swarm->IsHeld());
 }
