--- a/Source/Core/Distribution/Actions.h
+++ b/Source/Core/Distribution/Actions.h
@@ -11,17 +11,18 @@
 #include "Common/Hash.h"
 #include "Common/Types.h"
 
-// What the exchange of weights asks its surroundings to do.
+// Actions that the exchange of weights returns to its caller for execution.
 namespace Holdpost::Distribution
 {
-// The manifest travels like a piece, under this number.
+// The manifest is requested and sent like a piece, under this piece number.
 constexpr std::uint32_t MANIFEST_PIECE = std::numeric_limits<std::uint32_t>::max();
 
 using FetchId = std::uint64_t;
-// Names a request of another instance that is still to be answered.
+// Identifies an unanswered piece request of another instance.
 using RequestTag = std::uint64_t;
 
-// The platform's two sources of weights. Both are limited and say when to come back.
+// The platform's two sources of weights. Both limit their load and send the time of the next
+// allowed attempt with a refusal.
 enum class PlatformSource
 {
   Store,
@@ -30,8 +31,8 @@
 
 constexpr std::size_t PLATFORM_SOURCES = 2;
 
-// Fetch from a peer, or from a source of the platform if `peer` is empty. The answer goes to
-// OnFetched.
+// Fetches a piece from a peer, or from a source of the platform if `peer` is empty. The executor
+// passes the result to OnFetched.
 struct FetchPiece
 {
   FetchId id = 0;
@@ -46,16 +47,17 @@
   FetchId id = 0;
 };
 
-// What an instance holds of a version: all of it, or what came since the last announcement.
+// Pieces of a version that an instance holds: either all of them or those added since its last
+// announcement.
 struct Announcement
 {
   Common::Digest version;
   std::uint32_t piece_count = 0; // 0 while the sender has no manifest
-  bool is_whole = false;         // `bitmap` is all that is held; else `pieces` are added
-  bool wants_reply = false;      // the sender does not know what the receiver holds
+  bool is_whole = false;    // `bitmap` lists all held pieces; otherwise `pieces` lists added ones
+  bool wants_reply = false; // the sender does not know the receiver's pieces
   std::string bitmap;
   std::vector<std::uint32_t> pieces;
-  // Pieces that the sender is bringing into the hall.
+  // Pieces that the sender is fetching into the hall.
   std::vector<std::uint32_t> claimed;
 };
 
@@ -71,7 +73,7 @@
   Common::Result<Common::Bytes> result;
 };
 
-// A piece is held and verified.
+// Reports that a piece is verified and held.
 struct PieceHeld
 {
   Common::Digest version;
@@ -79,7 +81,7 @@
   Common::Bytes data;
 };
 
-// Every piece of the version is held and verified.
+// Reports that every piece of the version is verified and held.
 struct VersionHeld
 {
   Common::Digest version;
@@ -107,7 +109,7 @@
   ManifestDoubted,
 };
 
-// For the counters; `bytes` is 0 where no bytes moved.
+// Increments the counters of a transfer event; `bytes` is 0 for an event that transfers no bytes.
 struct CountTransfer
 {
   TransferEvent event;
--- a/Source/Core/Distribution/Exchange.cpp
+++ b/Source/Core/Distribution/Exchange.cpp
@@ -12,10 +12,10 @@
 using Common::Result;
 using Common::TimePoint;
 
-// How often stalls and patience are looked at while a version is incomplete.
-// A queued upload waits at most this part of the time after which the receiver would call it
-// stalled.
+// A queued upload waits at most the stall time divided by this number. The receiver would treat an
+// upload that waits longer as stalled.
 static constexpr int UPLOAD_WAIT_DIVISOR = 3;
+// Period of the checks for stalls and for expired patience while a version is incomplete.
 static constexpr Common::Duration TICK_PERIOD = Common::Milliseconds(50);
 
 Exchange::Exchange(std::string self, std::string hall, std::uint64_t seed)
@@ -44,7 +44,8 @@
     if (candidate.version != swarm.Version())
       continue;
     fetchers.push_back({candidate.instance, candidate.hall});
-    // Where crossings are shared, only those of the own hall are neighbours for all pieces.
+    // When a hall divides its cross-hall transfers among its instances, only instances of the same
+    // hall are neighbours for all pieces.
     if (!m_options.swarm.shares_crossings || candidate.hall == m_hall)
       same_version.push_back(candidate);
   }
@@ -99,7 +100,8 @@
     found->second->OnAnnouncement(peer, announcement, now, actions);
   else if (announcement.wants_reply)
   {
-    // The peer waits for our answer before it fetches from the origin: we hold nothing of it.
+    // The peer waits for a reply before it fetches from the origin. The reply states that this
+    // instance holds no piece of the version.
     actions->push_back(SendAnnouncement{peer, {announcement.version, 0, true, false, "", {}, {}}});
   }
 }
--- a/Source/Core/Distribution/Exchange.h
+++ b/Source/Core/Distribution/Exchange.h
@@ -15,7 +15,7 @@
 #include "Core/Distribution/Swarm.h"
 #include "Core/Distribution/Uploads.h"
 
-// All that one instance does about weights: the versions that it wants, its uploads and its link.
+// One instance's exchange of weights: the wanted versions, the uploads and the local link's budget.
 namespace Holdpost::Distribution
 {
 struct ExchangeOptions
@@ -25,7 +25,7 @@
   std::size_t upload_queue_most = 64;
   std::uint64_t link_bytes_per_second = 0; // in each direction; 0 for no limit
   LinkPacing link_pacing = LinkPacing::Budget;
-  // See Uploads::SetUnconfirmedMost; 0 if receivers say nothing.
+  // See Uploads::SetMaxUnconfirmed; 0 if receivers send no confirmations.
   std::size_t uploads_unconfirmed_most = 0;
 };
 
@@ -35,14 +35,15 @@
   Exchange(std::string self, std::string hall, std::uint64_t seed);
 
   void SetOptions(const ExchangeOptions& options);
-  // The other agents and the version that each wants.
+  // Sets the other agents and the version that each of them wants.
   void SetCandidates(std::vector<NeighbourCandidate> candidates, Common::TimePoint now,
                      Actions* actions);
-  // The candidates set last come from a view that is newer than every version wanted so far.
+  // Confirms that the candidates of the last SetCandidates call come from a membership view that is
+  // newer than every version wanted so far.
   void OnViewConfirmed(Common::TimePoint now, Actions* actions);
-  // Starts to fetch a version, or keeps it.
+  // Starts to fetch a version. Has no effect if the version is wanted already.
   void Want(const Common::Digest& version, Common::TimePoint now, Actions* actions);
-  // Stops fetching and forgets what is held of all versions but these.
+  // Stops the fetches and drops the pieces of all versions that are not in `versions`.
   void KeepOnly(const std::vector<Common::Digest>& versions, Actions* actions);
 
   void OnAnnouncement(const std::string& peer, const Announcement& announcement,
@@ -50,30 +51,32 @@
   void OnPeerLost(const std::string& peer, Common::TimePoint now, Actions* actions);
   void OnFetched(FetchId id, const Common::Result<Common::Bytes>& result, Common::TimePoint now,
                  Actions* actions);
-  // `is_urgent`: the piece is for a whole hall that lacks it.
+  // `is_urgent`: the requester fetches the piece for a hall in which no instance holds it.
   void OnPieceRequest(RequestTag tag, const Common::Digest& version, std::uint32_t piece,
                       bool is_urgent, Common::TimePoint now, Actions* actions);
-  // The peer does not wait for the piece any more, or has it.
+  // The peer has received the piece or no longer waits for it.
   void OnRequestAbandoned(RequestTag tag, Common::TimePoint now, Actions* actions);
-  // A piece from an earlier incarnation, if it is of the version.
+  // Adds a piece that an earlier incarnation stored, if it belongs to the version.
   void OfferPiece(const Common::Digest& version, std::uint32_t piece, const Common::Bytes& data,
                   Common::TimePoint now, Actions* actions);
   void OnTick(Common::TimePoint now, Actions* actions);
-  // When OnTick is due next; empty while there is nothing to do.
+  // Returns the time of the next OnTick call; empty while no work is pending.
   std::optional<Common::TimePoint> NextWakeup(Common::TimePoint now) const;
 
-  // How long one piece takes on the own link if that is narrower than it should be; else zero.
+  // Returns the transfer time of one piece on the local link if the link is slower than expected,
+  // otherwise zero.
   Common::Duration NarrowPieceTime(Common::TimePoint now) const
   {
     return m_shared.downloads.NarrowPieceTime(now);
   }
-  // How long a message to this instance may share a narrow link with pieces; zero on a good link.
+  // Returns the delay that open piece transfers may add to a message to this instance on a slow
+  // link; zero if the link has its expected rate.
   Common::Duration InboundDelay(Common::TimePoint now) const;
   const Swarm* Find(const Common::Digest& version) const;
   const std::map<Common::Digest, std::unique_ptr<Swarm>>& Versions() const { return m_swarms; }
 
 private:
-  // A piece whose bytes are still on the link.
+  // A received piece that is delivered when the link budget allows it.
   struct DelayedPiece
   {
     FetchId id;
--- a/Source/Core/Distribution/LinkBudget.h
+++ b/Source/Core/Distribution/LinkBudget.h
@@ -5,34 +5,36 @@
 
 #include "Common/Types.h"
 
-// One direction of a link with a limited rate. Work is booked and comes out when the link would
-// have carried it, so bytes over the budget wait instead of crowding out requests.
+// One direction of a link with a limited rate. A transfer is booked and completes when a link of
+// that rate would have carried it. Bytes over the budget are delayed, so they do not crowd out
+// requests.
 namespace Holdpost::Distribution
 {
-// How the rate of a link comes about.
+// Determines what limits the rate of a link.
 enum class LinkPacing
 {
-  // The operator grants a part of a faster link: bytes come out when a link of that rate would have
-  // carried them.
+  // The operator grants a share of a faster link. A piece is sent when a link of the granted rate
+  // would have carried its last byte.
   Budget,
-  // The wire itself has the rate: a piece is handed over once those before it are through, and what
-  // has arrived has arrived.
+  // The physical link has the rate. A piece is sent when the pieces before it have left the link,
+  // and received bytes are delivered without a further delay.
   Wire,
 };
 
 class LinkBudget
 {
 public:
-  // Bytes a second; 0 for no limit.
+  // Sets the rate in bytes per second; 0 means no limit.
   void SetRate(std::uint64_t bytes_per_second) { m_rate = bytes_per_second; }
-  // Books a transfer that starts when the link is free; returns when its last byte is through.
+  // Books a transfer that starts when the link is free; returns the time at which its last byte has
+  // passed the link.
   Common::TimePoint BookSend(std::uint64_t bytes, Common::TimePoint now);
-  // Books a transfer whose last byte has just come; it was on the link while it was being sent, so
-  // it only waits if other transfers used the link meanwhile.
+  // Books a transfer whose last byte has just arrived. The transfer used the link while the peer
+  // sent it, so it is delayed only if other transfers used the link during that time.
   Common::TimePoint BookReceive(std::uint64_t bytes, Common::TimePoint now);
-  // Takes back what is booked after `free_at`.
+  // Cancels the bookings after `free_at`.
   void Rewind(Common::TimePoint free_at) { m_free_at = free_at; }
-  // The time by which all that is booked is through.
+  // Returns the time at which all booked transfers have passed the link.
   Common::TimePoint FreeAt() const { return m_free_at; }
 
 private:
--- a/Source/Core/Distribution/LinkWatch.h
+++ b/Source/Core/Distribution/LinkWatch.h
@@ -7,16 +7,18 @@
 
 #include "Common/Types.h"
 
-// Tells whether this instance's own link is narrower than it should be, from how long transfers
-// take and how many share the link: a slow peer makes some of them long, a narrow link all of them.
+// Detects a local link that is slower (narrower) than expected from the durations of the transfers
+// and the number of concurrent transfers. A slow peer prolongs some transfers, a narrow local link
+// prolongs all of them.
 namespace Holdpost::Distribution
 {
 class LinkTracker
 {
 public:
-  // What a transfer takes on a link when nothing else is on it.
+  // Sets the expected duration of one transfer on an otherwise idle link.
   void SetPieceTime(Common::Duration piece_time) { m_piece_time = piece_time; }
-  // A transfer ended, or is known to take at least so long, while up to `at_once` went on.
+  // Records a transfer that ended after `took`, or that has been open for `took` without an end. Up
+  // to `concurrent` transfers were open at the same time.
   void OnTransfer(Common::Duration took, std::size_t concurrent, Common::TimePoint now)
   {
     const auto count = static_cast<Common::Duration::rep>(std::max<std::size_t>(concurrent, 1));
@@ -26,13 +28,14 @@
     m_count = std::min(m_count + 1, m_samples.size());
     m_last = now;
   }
-  // Whether nearly all of the last few transfers took longer than a good link explains.
+  // Returns whether nearly all of the last few transfers took longer than a link of the expected
+  // rate explains.
   bool IsNarrow(Common::TimePoint now) const
   {
     return m_count >= MIN_SAMPLES && now - m_last < SAMPLE_LIFETIME &&
            FastSamples() <= m_count / FAST_SAMPLE_DIVISOR;
   }
-  // The link time of a piece, while the link is narrow; zero on one that is as it should be.
+  // Returns the transfer time of one piece while the link is narrow, otherwise zero.
   Common::Duration NarrowPieceTime(Common::TimePoint now) const
   {
     if (!IsNarrow(now))
@@ -61,11 +64,12 @@
   }
 
   static constexpr std::size_t MIN_SAMPLES = 3;
-  // One of so many may be fast, as when it was on the way before.
+  // On a narrow link, up to 1 of this number of samples may be fast, for example a transfer that
+  // started before the link became narrow.
   static constexpr std::size_t FAST_SAMPLE_DIVISOR = 4;
-  // The other end shares its link between so many on average, at most.
+  // Maximum of the average number of transfers that share the link at the remote end.
   static constexpr int MAX_REMOTE_SHARERS = 3;
-  // In halves: what is over one and a half times what is explained is slow.
+  // A transfer is slow if it takes more than 1.5 times (3 halves) the explained duration.
   static constexpr int SLOW_FACTOR_HALVES = 3;
   static constexpr Common::Milliseconds SAMPLE_LIFETIME = Common::Milliseconds(10000);
 
--- a/Source/Core/Distribution/Manifest.h
+++ b/Source/Core/Distribution/Manifest.h
@@ -8,7 +8,8 @@
 #include "Common/Error.h"
 #include "Common/Hash.h"
 
-// A version of weights is named by the SHA-256 of its manifest, which holds the hash of each piece.
+// The manifest of a version of weights. It contains the hash of each piece, and its own SHA-256
+// identifies the version.
 namespace Holdpost::Distribution
 {
 constexpr std::uint32_t PIECE_BYTES_LEAST = 1024;
@@ -16,19 +17,19 @@
 
 struct Manifest
 {
-  std::string name; // for people
+  std::string name; // shown to operators
   std::uint64_t total_bytes = 0;
-  std::uint32_t piece_bytes = 0; // of every piece but the last
+  std::uint32_t piece_bytes = 0; // size of every piece except the last
   std::vector<Common::Digest> pieces;
 
   std::uint32_t PieceCount() const { return static_cast<std::uint32_t>(pieces.size()); }
-  // 0 if there is no such piece.
+  // Returns the size of the piece, or 0 if the manifest has no such piece.
   std::uint32_t BytesOf(std::uint32_t piece) const;
 };
 
 std::string EncodeManifest(const Manifest& manifest);
-// Refuses a manifest whose sizes and hashes do not fit together.
+// Returns an error if the sizes and the number of hashes are inconsistent.
 Common::Result<Manifest> DecodeManifest(const std::string& text);
-// Cuts `weights` into pieces.
+// Builds the manifest of `weights`, divided into pieces of `piece_bytes` bytes.
 Manifest MakeManifest(const std::string& name, std::string_view weights, std::uint32_t piece_bytes);
 } // namespace Holdpost::Distribution
--- a/Source/Core/Distribution/Neighbours.cpp
+++ b/Source/Core/Distribution/Neighbours.cpp
@@ -6,10 +6,11 @@
 
 namespace Holdpost::Distribution
 {
-// One link in this many goes to other halls.
+// 1 of this number of links goes to another hall.
 static constexpr std::size_t OTHER_HALL_LINK_DIVISOR = 4;
 
-// Links to both sides of the ring, `count` in all, at distances that all members compute alike.
+// Adds `count` neighbours in total, from both directions of the ring. All members compute the same
+// distances.
 static void AddRingNeighbours(std::uint64_t seed, const std::string& self,
                               const std::vector<std::string>& members, std::size_t count,
                               std::set<std::string>* chosen)
--- a/Source/Core/Distribution/Neighbours.h
+++ b/Source/Core/Distribution/Neighbours.h
@@ -6,22 +6,23 @@
 
 #include "Common/Hash.h"
 
-// The bounded set of instances with which pieces of a version are exchanged.
+// Selects the bounded set of instances with which an instance exchanges pieces of a version.
 namespace Holdpost::Distribution
 {
 struct NeighbourCandidate
 {
   std::string instance;
   std::string hall;
-  Common::Digest version; // the one it wants
+  Common::Digest version; // the version that the instance wants
 
   bool operator==(const NeighbourCandidate&) const = default;
 };
 
-// Both ends of a link compute the same answer, so nobody has to ask. Instances stand on a ring in
-// an order seeded by the version; each is linked to those at distances 1, 2 and then at seeded
-// ones, in both directions, which makes a graph of small diameter. Most links are inside the hall.
-// Returns at most `count` names (a few less where distances coincide), sorted.
+// Both ends of a link compute the same result, so instances need no negotiation. The instances form
+// a ring in an order that the version seeds. Each instance is linked to the instances at distances
+// 1 and 2 and at further seeded distances, in both directions; the resulting graph has a small
+// diameter. Most links are inside the hall. Returns about `count` names, sorted; there are a few
+// less where distances coincide.
 std::vector<std::string> ChooseNeighbours(const Common::Digest& version, const std::string& self,
                                           const std::string& hall,
                                           const std::vector<NeighbourCandidate>& all,
--- a/Source/Core/Distribution/PieceSet.h
+++ b/Source/Core/Distribution/PieceSet.h
@@ -5,17 +5,17 @@
 #include <string>
 #include <vector>
 
-// A set of piece numbers below a fixed count, with a bitmap as its form on the wire.
+// A set of piece numbers below a fixed count, encoded as a bitmap on the wire.
 namespace Holdpost::Distribution
 {
 class PieceSet
 {
 public:
   explicit PieceSet(std::uint32_t size = 0) : m_bits(size, false) {}
-  // Bits beyond `size` are ignored.
+  // Ignores the bits from `size` on.
   static PieceSet FromBitmap(const std::string& bitmap, std::uint32_t size);
 
-  // Returns false if it was in the set already or is no piece.
+  // Returns false if the set contains the piece already or if the number is out of range.
   bool Insert(std::uint32_t piece);
   bool Contains(std::uint32_t piece) const { return piece < m_bits.size() && m_bits[piece]; }
   std::uint32_t Count() const { return m_count; }
--- a/Source/Core/Distribution/Ranking.h
+++ b/Source/Core/Distribution/Ranking.h
@@ -7,30 +7,34 @@
 
 #include "Common/Hash.h"
 
-// Who fetches which piece from the origin. Everyone computes it alone; differing views cost a piece
-// fetched twice, never a wrong one.
+// Determines which instance fetches which piece from the origin. Each instance computes the ranking
+// without communication. If membership views differ, a piece may be fetched twice, but never a
+// wrong piece.
 namespace Holdpost::Distribution
 {
-// For each piece, how many of `others` come before `self` in the rendezvous order of the piece.
-// Rank 0 fetches the piece from the origin.
+// Returns, for each piece, the number of `others` that precede `self` in the rendezvous order of
+// the piece. The instance with rank 0 fetches the piece from the origin.
 std::vector<std::uint32_t> RankPieces(const Common::Digest& version, std::uint32_t piece_count,
                                       const std::string& self,
                                       const std::vector<std::string>& others);
-// Of `names`, the `count` that come first in the rendezvous order of the piece.
+// Returns the first `count` of `names` in the rendezvous order of the piece.
 std::vector<std::string> TopRankedForPiece(const Common::Digest& version, std::uint32_t piece,
                                            const std::vector<std::string>& names,
                                            std::size_t count);
 
-// The pieces of a version, dealt out evenly to the members of a hall: who brings in which piece
-// from outside, and who comes after it if that fails.
+// Assigns the pieces of a version evenly to the members of a hall. For each piece it orders the
+// members: the first member fetches the piece from outside the hall, and the next ones take over if
+// that fails.
 class PieceAssignment
 {
 public:
   PieceAssignment() = default;
   PieceAssignment(const Common::Digest& version, const std::vector<std::string>& members);
 
-  // The places in the order of the piece, the one that brings it in first.
+  // Returns the member's position in the order of the piece; the assigned fetcher has rank 0, and
+  // an unknown member has the number of members as its rank.
   std::uint32_t RankOf(const std::string& member, std::uint32_t piece) const;
+  // Returns the first `count` members in the order of the piece.
   std::vector<std::string> FirstMembers(std::uint32_t piece, std::size_t count) const;
 
 private:
--- a/Source/Core/Distribution/Swarm.cpp
+++ b/Source/Core/Distribution/Swarm.cpp
@@ -18,7 +18,7 @@
 using Common::Result;
 using Common::TimePoint;
 
-// The pause after a stall doubles up to this many times.
+// The pause after consecutive stalls of a peer doubles at most this number of times.
 static constexpr std::uint32_t MAX_STALL_DOUBLINGS = 5;
 
 std::string_view TransferEventName(TransferEvent event)
@@ -67,8 +67,8 @@
     }
     ComputeRanks();
   }
-  // Links of an earlier view are dropped: who keeps more of them than the others takes more than
-  // its share of the uploads.
+  // Links of an earlier membership view are dropped. An instance that kept more links than the
+  // others would carry more than its share of the uploads.
   std::vector<std::string> dropped;
   for (const auto& [name, neighbour] : m_neighbours)
   {
@@ -113,7 +113,7 @@
 {
   for (const auto& [name, neighbour] : m_neighbours)
   {
-    // One that holds the piece has no use for the news.
+    // A neighbour that holds the piece does not need the announcement.
     if (!neighbour.knows_local_holdings || neighbour.held.Contains(piece))
       continue;
     if (neighbour.is_remote)
@@ -177,7 +177,8 @@
     neighbour.has_manifest = true;
   if (!m_manifest)
   {
-    // What it holds can't be placed yet; it is asked again once the manifest is here.
+    // Without a manifest the announced pieces cannot be recorded. The peer is asked again when the
+    // manifest is known.
     ScheduleFetches(now, actions);
     return;
   }
@@ -294,7 +295,7 @@
     const TimePoint progress = peer.empty() ? StateOf(fetch->second.source).progress
                                : neighbour == m_neighbours.end() ? TimePoint{}
                                                                  : neighbour->second.last_progress;
-    // A source that works through its queue for us is slow, not stalled.
+    // A source that keeps delivering pieces to this instance is slow, not stalled.
     if (!fetch->second.is_received && now - std::max(progress, fetch->second.started) >= stall_time)
     {
       m_shared->downloads.OnTransfer(now - fetch->second.started, fetch->second.concurrent, now);
@@ -309,7 +310,7 @@
   }
   for (const std::string& peer : stalled)
   {
-    // Each time in a row it is left alone for longer.
+    // The pause doubles with each consecutive stall.
     Neighbour& neighbour = m_neighbours[peer];
     neighbour.stalls = std::min(neighbour.stalls + 1, MAX_STALL_DOUBLINGS);
     neighbour.blocked_until = now + m_options.stall * (1U << neighbour.stalls);
--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -18,53 +18,60 @@
 #include "Core/Distribution/PieceSet.h"
 #include "Core/Distribution/Ranking.h"
 
-// One instance's part in the exchange of one version of weights.
+// One instance's state in the exchange of one version of weights: the held pieces, the neighbours'
+// pieces and the open fetches.
 namespace Holdpost::Distribution
 {
-// A peer that sent this many corrupt pieces is not asked again for a while.
+// A peer that sent this number of corrupt pieces is shunned: it receives no requests for a fixed
+// time.
 constexpr std::uint32_t SHUN_AFTER_CORRUPT_PIECES = 2;
 
 struct SwarmOptions
 {
-  // A piece that nobody is seen to hold is fetched by the next ranked fetcher after so long without
-  // any new piece coming into sight.
+  // If no new piece becomes available for this time, the fetcher with the next rank takes over the
+  // pieces that no known instance holds.
   Common::Duration patience = Common::Milliseconds(1500);
-  // A source that owes pieces and delivers nothing for so long is given up.
+  // The fetches from a source that delivers nothing for this time are cancelled.
   Common::Duration stall = Common::Milliseconds(3000);
-  // A source of the platform that fails is left alone for so long at most.
+  // Maximum delay before the next request to a source of the platform that failed.
   Common::Duration backoff_most = Common::Milliseconds(5000);
   std::uint32_t window_per_peer = 1;
   std::uint32_t platform_window = 4;
   std::uint32_t window_in_all = 16;
-  // The same as long as the hall lacks pieces, of this version or another one, that it has to bring
-  // in: these come first, as all of the hall wait for them.
+  // Upper bound of `window_in_all` while the hall still has to fetch pieces of this or another
+  // version from outside. These pieces have priority because all instances of the hall wait for
+  // them.
   std::uint32_t window_while_lacking = 16;
-  // Asks a second peer for the last pieces.
+  // Requests the last pieces from a second peer too.
   bool may_hedge = true;
-  // Fetches pieces; else only the manifest, as the pieces may be here already.
+  // If false, the swarm fetches only the manifest, because the instance may hold the pieces
+  // already.
   bool fetches_pieces = true;
-  // Takes one piece at a time on an own link that is narrower than it should be, so that it is left
-  // to other traffic too.
+  // Fetches one piece at a time while the local link is narrower than expected, so that other
+  // traffic gets a share of the link.
   bool adapts_window = false;
-  // What a piece takes on the link when nothing else is on it.
+  // Expected duration of the transfer of one piece on an otherwise idle link.
   Common::Duration piece_time = Common::Milliseconds(30);
-  // What a piece takes on the origin's link: instances that share it out fetch at that pace.
+  // Duration of the transfer of one piece on the origin's link. The instances that divide the
+  // fetches from the origin schedule them at this rate.
   Common::Duration origin_piece_time = Common::Milliseconds(30);
-  // A version is the SHA-256 of its manifest; else the manifest of the origin is believed until its
-  // pieces prove it wrong.
+  // If true, a version is the SHA-256 of its manifest. Otherwise the swarm trusts the origin's
+  // manifest until corrupt pieces contradict it.
   bool is_named_by_content = true;
   bool has_weight_store = true;
-  // Bytes between halls are dear: the instances of a hall share out what is brought in from
-  // outside, and say what each is bringing. The origin is outside for all halls but its own.
+  // Cross-hall transfers are expensive. If true, the instances of a hall divide the fetches from
+  // outside the hall among themselves, and each instance announces the pieces that it is fetching.
+  // The origin is outside of every hall except its own.
   bool shares_crossings = false;
   std::string origin_hall;
-  // What a neighbour said it is bringing in is left to it for so long.
+  // While a neighbour's announced claim to fetch a piece is younger than this time, this instance
+  // does not fetch the piece.
   Common::Duration claim_lifetime = Common::Milliseconds(450);
-  // Pieces that one instance brings in at once.
+  // Maximum number of concurrent fetches of one instance from outside the hall.
   std::uint32_t outside_window = 1;
 };
 
-// An instance that wants the version.
+// An instance that wants the version, with its hall.
 struct Fetcher
 {
   std::string instance;
@@ -73,13 +80,13 @@
   bool operator==(const Fetcher&) const = default;
 };
 
-// What the swarms of one instance have in common.
+// State that all swarms of one instance share.
 struct SwarmShared
 {
   FetchId next_fetch_id = 1;
-  // Watches the own link by the pieces that come in.
+  // Observes the local link through the transfers of received pieces.
   LinkTracker downloads;
-  // Versions of which the hall lacks pieces that its instances are bringing in.
+  // Versions of which the hall still has to fetch pieces from outside.
   std::set<Common::Digest> incomplete_in_hall;
 };
 
@@ -91,46 +98,52 @@
         SwarmShared* shared);
 
   void SetOptions(const SwarmOptions& options) { m_options = options; }
-  // `neighbours` exchange pieces with us; `fetchers` are all that want the version and may be
-  // expected to fetch their share from the origin.
+  // `neighbours` exchange pieces with this instance. `fetchers` are all other instances that want
+  // the version; each of them is expected to fetch its share from the origin.
   void SetPeers(const std::vector<std::string>& neighbours, const std::vector<Fetcher>& fetchers,
                 Common::TimePoint now, Actions* actions);
-  // The view of who else wants the version is fresh. Before that nothing is fetched from the origin
-  // until the patience is over: an instance that knows nobody would fetch it all.
+  // Confirms that the set of instances that want the version is current. Until this call the swarm
+  // fetches nothing from the origin before the patience has expired, because an instance that knows
+  // no other instance would fetch every piece.
   void OnViewConfirmed(Common::TimePoint now, Actions* actions);
   void OnAnnouncement(const std::string& peer, const Announcement& announcement,
                       Common::TimePoint now, Actions* actions);
-  // The peer has gone or cannot be reached.
+  // The peer has left or is unreachable.
   void OnPeerLost(const std::string& peer, Common::TimePoint now, Actions* actions);
-  // The bytes are here, but still wait for their turn on the own link: the source is not to blame.
+  // The bytes have arrived but are delayed by the local link budget, so the source does not count
+  // as stalled.
   void OnBytesReceived(FetchId id, Common::TimePoint now);
-  // An answer to a FetchPiece. Late answers to cancelled fetches are dropped.
+  // Handles the result of a FetchPiece action. Ignores results of cancelled fetches.
   void OnFetched(FetchId id, const Common::Result<Common::Bytes>& result, Common::TimePoint now,
                  Actions* actions);
-  // A piece that was held from an earlier incarnation; dropped if it is not of this version.
+  // Adds a piece that an earlier incarnation stored. Ignores a piece that does not belong to this
+  // version.
   void OfferPiece(std::uint32_t piece, const Common::Bytes& data, Common::TimePoint now,
                   Actions* actions);
   void OnTick(Common::TimePoint now, Actions* actions);
-  // Gives up all fetches, as the version is not wanted any more.
+  // Cancels all fetches because the version is no longer wanted.
   void Stop(Actions* actions);
 
-  // When OnTick has something to do that nothing else wakes it for.
+  // Returns the earliest time at which OnTick may start a fetch that waits for this instance's
+  // turn.
   Common::TimePoint NextTurnStart() const { return m_next_turn_start; }
   bool HasFetch(FetchId id) const { return m_fetches.contains(id); }
   const Common::Digest& Version() const { return m_version; }
   bool IsHeld() const { return m_manifest && m_held.IsFull(); }
   const std::optional<Manifest>& ManifestHeld() const { return m_manifest; }
-  // Null if it is not held. Takes MANIFEST_PIECE too.
+  // Returns the bytes of the piece, or null if it is not held. Accepts MANIFEST_PIECE.
   Common::Bytes Piece(std::uint32_t piece) const;
-  // Whether the bytes are the piece of this version; false while the manifest is not known.
+  // Returns whether the bytes match the piece's hash in the manifest; false while the manifest is
+  // unknown.
   bool IsRight(std::uint32_t piece, const std::string& data) const;
   std::uint32_t PiecesHeld() const { return m_held.Count(); }
-  // For progress lines: open fetches, and pieces that neither this instance nor a neighbour holds.
+  // Figures for the progress log lines: the open fetches by source, the neighbours, and the pieces
+  // that neither this instance nor a neighbour holds.
   std::uint32_t OpenAtOrigin() const { return m_platform_outstanding; }
   std::size_t OpenAtPeers() const { return m_fetches.size() - m_platform_outstanding; }
   std::size_t NeighbourCount() const { return m_neighbours.size(); }
   std::uint32_t PiecesUnseen() const;
-  // When the last piece was verified; the start of time before that.
+  // Returns the time at which the last piece was verified, or the epoch before that.
   Common::TimePoint HeldAt() const { return m_held_at; }
 
 private:
@@ -138,14 +151,14 @@
   {
     PieceSet held;
     bool has_manifest = false;
-    // In another hall, where crossings are shared.
+    // The neighbour is in another hall, and the hall divides its cross-hall transfers.
     bool is_remote = false;
     std::uint32_t outstanding = 0;
     std::uint32_t corrupt_pieces = 0;
-    std::uint32_t stalls = 0; // since the last piece that came
-    // Set once it has told us what it holds.
+    std::uint32_t stalls = 0; // since the last piece from this neighbour
+    // Set when the neighbour has announced the pieces that it holds.
     bool has_answered = false;
-    // Set once we have told it all that we hold.
+    // Set when this instance has sent a full announcement to the neighbour.
     bool knows_local_holdings = false;
     Common::TimePoint last_progress{};
     Common::TimePoint blocked_until{};
@@ -158,7 +171,7 @@
     PlatformSource source = PlatformSource::Origin;
     Common::TimePoint started{};
     bool is_received = false;
-    // Fetches that went on when it was started.
+    // Number of open fetches when this fetch was started.
     std::size_t concurrent = 1;
   };
 
@@ -173,7 +186,8 @@
   {
     return m_sources[static_cast<std::size_t>(source)];
   }
-  // The weight store before the origin; empty while both want to be left alone.
+  // Returns the weight store if it may be used, otherwise the origin; empty while both are in
+  // backoff.
   std::optional<PlatformSource> UsableSource(Common::TimePoint now) const;
   void ScheduleFetches(Common::TimePoint now, Actions* actions);
   void ScheduleManifest(Common::TimePoint now, Actions* actions);
@@ -184,14 +198,16 @@
   bool MayUseOrigin(Common::TimePoint now) const;
   std::optional<std::uint32_t> NextOriginPiece(Common::TimePoint now, bool* is_takeover) const;
   std::optional<std::uint32_t> RarestPiece(Common::TimePoint now);
-  // The least loaded neighbour that holds the piece; empty if none may be asked now.
+  // Returns the neighbour with the fewest open requests among those that hold the piece; empty if
+  // no such neighbour accepts a request now.
   std::string SelectPeer(std::uint32_t piece, Common::TimePoint now, const std::string& except);
   bool MayRequestFrom(const Neighbour& neighbour, Common::TimePoint now) const;
-  // Whether the piece may be asked of the neighbour, as one of the hall, at this moment.
+  // Returns whether the neighbour is in the same hall, holds the piece and accepts a request now.
   bool MayRequestPiece(const Neighbour& neighbour, std::uint32_t piece,
                        Common::TimePoint now) const;
   bool IsInOtherHall(const std::string& peer) const;
-  // Whether some neighbour that may be asked holds the piece.
+  // Returns whether a neighbour of the same hall that neither stalls nor is shunned holds the
+  // piece.
   bool IsAvailableNearby(std::uint32_t piece) const;
   void OnSourceProgress(const Fetch& fetch, Common::TimePoint now);
   void StartFetch(std::uint32_t piece, const std::string& peer, Common::TimePoint now,
@@ -204,7 +220,8 @@
                       Actions* actions);
   void AcceptPiece(const Fetch& fetch, const Common::Bytes& data, Common::TimePoint now,
                    Actions* actions);
-  // Whether a manifest that was not proved by its name may be believed.
+  // Returns whether a manifest may be trusted. If the version is not the manifest's hash, the
+  // origin has to send the same manifest twice in a row.
   bool IsConfirmed(const Fetch& fetch, const Common::Bytes& data);
   void OnCorrupt(const Fetch& fetch, Common::TimePoint now, Actions* actions);
   void OnPlatformFailed(const Fetch& fetch, const Common::Error& error, Common::TimePoint now,
@@ -219,43 +236,52 @@
   void AnnounceToNextHall(std::uint32_t piece, bool is_from_origin, Actions* actions);
   void ResyncHoldings(Common::TimePoint now, Actions* actions);
   bool IsInOriginHall() const;
-  // Whether the instances in the origin's hall bring in nothing, so that others have to.
+  // Returns whether the instances of the origin's hall fetch nothing, so that other halls have to
+  // fetch from the origin.
   bool IsOriginHallIdle(Common::TimePoint now);
   void ScheduleOutsideFetches(Common::TimePoint now, Actions* actions);
-  // Where the piece may be had outside the hall: a peer, or an empty name for the origin.
+  // Selects a source outside the hall: the name of a peer, an empty name for the origin, or no
+  // value if the piece has to wait.
   std::optional<std::string> SelectOutsideSource(std::uint32_t piece, bool may_use_origin,
                                                  Common::TimePoint now);
-  // Whether neither this instance nor a neighbour of the hall holds the piece.
+  // Returns whether neither this instance nor a neighbour of the same hall holds the piece.
   bool IsUnavailable(std::uint32_t piece) const
   {
     return !m_held.Contains(piece) && m_availability[piece] == 0;
   }
-  // When this instance may bring the piece in.
+  // Returns the time from which this instance may fetch the piece from outside the hall.
   Common::TimePoint TurnStart(std::uint32_t piece) const;
-  // Plans to fetch what the hall lacks, in order, from now on.
+  // Plans the fetches of the pieces that are missing in the hall, in piece order, starting at
+  // `now`.
   void PlanFetches(Common::TimePoint now);
-  // When the piece should come from the origin.
+  // Returns the time at which the plan schedules the piece's fetch from the origin.
   Common::TimePoint PlannedFetchAt(std::uint32_t piece) const;
-  // The piece has come to some member of the hall. Returns whether the origin was down until then.
+  // Records that a member of the hall received the piece. Returns whether the origin was down until
+  // then.
   bool OnPieceInHall(std::uint32_t piece, Common::TimePoint now);
-  // Tells those of the hall that are no neighbours, too, so that all know that the origin is back.
+  // Announces the piece to the members of the hall that are not neighbours, so that all members
+  // learn that the origin is available again.
   void AnnounceToHall(std::uint32_t piece, Actions* actions);
-  // For how long the origin has been down as far as the hall can tell; below zero if it is not.
+  // Returns the duration of the origin's outage as observed in the hall; negative if there is no
+  // outage.
   Common::Duration OriginOutage(Common::TimePoint now) const;
-  // While the origin is down few of the hall go on asking it, the more the longer it takes. If all
-  // did, its first answers would be shared between copies of the same pieces.
+  // Returns whether this instance may request pieces from the origin. During an outage only a few
+  // members of the hall probe the origin, and their number grows with the duration of the outage.
+  // If all members probed it, the origin would spend its first responses on copies of the same
+  // pieces.
   bool MayProbeOrigin(Common::TimePoint now) const;
   bool IsClaimed(std::uint32_t piece, Common::TimePoint now) const;
   void Claim(std::uint32_t piece, Actions* actions);
   std::uint32_t OpenOutsideFetches() const;
   void ScheduleSlowHedges(Common::TimePoint now, Actions* actions);
   std::uint32_t TotalWindow(Common::TimePoint now) const;
-  // Whether pieces have to be brought into the hall, and are expected to come.
+  // Returns whether the hall still has to fetch pieces from outside and its sources deliver.
   bool IsHallIncomplete(Common::TimePoint now) const;
   bool IsLinkNarrow(Common::TimePoint now) const;
-  // Whether no source has sent anything for so long that the own link is to blame.
+  // Returns whether more than one source owes a piece and none of them has delivered for the stall
+  // time, which indicates a fault of the local link.
   bool IsLocalLinkSilent(Common::TimePoint now) const;
-  // How long a source may owe a piece.
+  // Returns the time without progress after which a fetch counts as stalled.
   Common::Duration StallTime(Common::TimePoint now) const;
   void AddVerifiedPiece(std::uint32_t piece, const Common::Bytes& data, Common::TimePoint now,
                         Actions* actions);
@@ -277,43 +303,48 @@
 
   std::map<std::string, Neighbour> m_neighbours;
   std::vector<Fetcher> m_fetchers;
-  // Instances that want the version, by hall.
+  // Names of the other instances that want the version, by hall.
   std::map<std::string, std::vector<std::string>> m_halls;
   std::map<std::string, std::string> m_hall_by_instance;
-  // For each piece, how many fetch it from the origin before this one.
+  // For each piece, the number of instances that precede this instance in fetching it from the
+  // origin.
   std::vector<std::uint32_t> m_ranks;
-  // Who brings in what, by hall.
+  // Assignment of pieces to the fetching members, by hall.
   std::map<std::string, PieceAssignment> m_assignments;
-  // For each piece, how many of the hall bring it in before this one, and the order that follows.
+  // For each piece, the number of members of the hall that precede this instance in fetching it
+  // from outside; and the pieces ordered by this rank.
   std::vector<std::uint32_t> m_hall_ranks;
   std::vector<std::uint32_t> m_outside_order;
-  // When another hall was first seen to have the piece.
+  // Time of the first announcement of the piece from another hall.
   std::vector<Common::TimePoint> m_available_outside_at;
-  // When a neighbour last said that it is bringing the piece in.
+  // Time of the last announcement in which a neighbour claimed the fetch of the piece.
   std::vector<Common::TimePoint> m_claimed_at;
-  // The plan for drawing from the origin: when it begins, and each piece's place in it.
+  // The plan of the fetches from the origin: its start time and each piece's position.
   Common::TimePoint m_plan_start{};
   std::vector<std::uint32_t> m_plan_position;
-  // When a piece last came into the hall.
+  // Time at which a new piece last arrived in the hall.
   Common::TimePoint m_last_piece_in_hall_at{};
-  // The end of what came from the origin, in the plan's order, and how late the origin is.
+  // Plan position after the last piece received from the origin, and the origin's delay against the
+  // plan.
   std::uint32_t m_plan_fetched_end = 0;
   Common::Duration m_origin_delay{};
-  // When a piece that waits for its turn may be brought in.
+  // Earliest start of this instance's turn among the pieces that wait for it.
   Common::TimePoint m_next_turn_start = Common::TimePoint::max();
   Common::TimePoint m_resync_due{};
   Common::TimePoint m_origin_hall_contact_at{};
-  // When another hall was last seen to have a piece that is new here.
+  // Time of the last announcement from another hall of a piece that this instance lacks.
   Common::TimePoint m_last_outside_availability_at{};
   bool m_has_taken_over = false;
-  // This hall had taken over, and has left the origin to the origin's hall since it came back.
+  // Set when the origin is available again after an outage and this hall has given the origin's
+  // hall precedence; cleared when another hall announces a new piece.
   bool m_has_yielded_to_origin_hall = false;
   Common::TimePoint m_last_arrival{};
   std::uint32_t m_manifest_rank = 0;
   std::uint32_t m_manifest_rank_in_hall = 0;
-  std::vector<std::uint32_t> m_availability; // neighbours that hold each piece
-  std::vector<std::uint32_t> m_in_flight;    // fetches of each piece
-  std::vector<std::uint32_t> m_origin_order; // seeded, so that fetchers don't fetch in step
+  std::vector<std::uint32_t> m_availability; // number of neighbours that hold each piece
+  std::vector<std::uint32_t> m_in_flight;    // number of open fetches of each piece
+  std::vector<std::uint32_t>
+      m_origin_order; // shuffled by seed, so that fetchers use different orders
 
   std::map<FetchId, Fetch> m_fetches;
   bool m_is_view_confirmed = false;
@@ -322,12 +353,13 @@
   std::uint32_t m_manifest_in_flight = 0;
   std::array<SourceState, PLATFORM_SOURCES> m_sources;
   std::optional<Common::TimePoint> m_last_availability_at;
-  // The last copy of the manifest from the origin, until a second one is the same.
+  // The last copy of the manifest from the origin, kept until a second copy is identical.
   Common::Bytes m_manifest_copy;
-  // Corrupt copies from the origin of each piece, since the manifest came.
+  // Number of corrupt copies of each piece from the origin since the manifest was accepted.
   std::map<std::uint32_t, std::uint32_t> m_corrupt_from_origin;
   bool m_is_manifest_doubted = false;
-  // Held under the manifest that is doubted; looked at anew under the next one.
+  // Pieces that were verified against the doubted manifest. They are verified again with the next
+  // manifest.
   std::vector<Common::Bytes> m_pieces_to_reverify;
 };
 } // namespace Holdpost::Distribution
--- a/Source/Core/Distribution/SwarmHalls.cpp
+++ b/Source/Core/Distribution/SwarmHalls.cpp
@@ -8,37 +8,39 @@
 
 #include "Core/Distribution/Ranking.h"
 
-// How the instances of a hall share out what is brought in from outside: from the origin, or from
-// another hall.
+// Coordinates how the instances of a hall divide the fetches from outside the hall, that is, from
+// the origin or from another hall.
 namespace Holdpost::Distribution
 {
 using Common::Duration;
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// News that was lost on the way is made up for after so long.
+// Period of the full announcements that replace lost announcements (anti-entropy).
 static constexpr Milliseconds RESYNC_PERIOD = Milliseconds(700);
 static constexpr std::size_t RESYNC_PEERS_PER_HALL = 2;
-// Times the patience that other halls wait for the origin's hall, while it answers and when it does
-// not. One that answers brings pieces as soon as the origin has any: halls that took over from it
-// in an outage of 6 s fetched the same pieces again when the origin was back, three times each.
+// Multiples of the patience for which other halls wait for the origin's hall before they take over:
+// while its members answer, and while they are silent. A hall that answers delivers pieces as soon
+// as the origin does. Halls that took over from it during a 6 s outage fetched the same pieces
+// again after the outage, three times each.
 static constexpr int REACHABLE_HALL_PATIENCES = 20;
 static constexpr int SILENT_HALL_PATIENCES = 2;
-// Turns that the origin's hall has for the manifest before others fetch it.
+// Additional manifest ranks of the instances in other halls, so that the origin's hall has this
+// number of turns to fetch the manifest first.
 static constexpr std::uint32_t MANIFEST_EXTRA_TURNS = 2;
 static constexpr Milliseconds HALL_SILENT_AFTER = Milliseconds(1500);
-// Members of the next hall that are told of a piece: the one that brings it in, and those that come
-// after it.
+// Number of members of the next hall to which a piece is announced: the assigned fetcher and the
+// members that take over from it.
 static constexpr std::size_t ANNOUNCED_MEMBERS = 3;
-// The next member may bring a piece in after so many times of what a piece takes, and this at
-// least.
+// Length of a turn, after which the next member may fetch a piece: this multiple of the piece time,
+// and MIN_TURN at least.
 static constexpr int TURN_PIECE_TIMES = 16;
 static constexpr Duration MIN_TURN = Milliseconds(150);
-// When nothing has come into the hall for so many times of what a piece takes, and this at least,
-// the source is taken to be down.
+// The source counts as down if no piece arrives in the hall for this multiple of the piece time,
+// and for MIN_OUTAGE at least.
 static constexpr int OUTAGE_PIECE_TIMES = 16;
 static constexpr Duration MIN_OUTAGE = Milliseconds(1000);
-// More doublings would not fit into a time.
+// More doublings of MIN_OUTAGE would overflow a time value.
 static constexpr std::uint32_t MAX_PROBE_RANK = 12;
 
 void Swarm::ComputeRanks()
@@ -62,7 +64,7 @@
   m_hall_ranks.clear();
   for (std::uint32_t piece = 0; piece < count; ++piece)
     m_hall_ranks.push_back(m_assignments[m_self.hall].RankOf(m_self.instance, piece));
-  // Those in the origin's hall fetch the manifest first.
+  // The instances in the origin's hall fetch the manifest first.
   m_manifest_rank_in_hall = m_hall_ranks.front();
   m_manifest_rank = m_hall_ranks.front();
   if (!IsInOriginHall())
@@ -91,7 +93,7 @@
   {
     if (hall == m_self.hall)
       continue;
-    // Others each time, as some may be out of reach.
+    // Selects different instances in each round because some may be unreachable.
     const auto seed = static_cast<std::uint32_t>(m_random());
     for (const std::string& name : TopRankedForPiece(m_version, seed, names, RESYNC_PEERS_PER_HALL))
       SendFullAnnouncement(name, true, actions);
@@ -108,7 +110,8 @@
 {
   if (m_halls.empty())
     return;
-  // From hall to hall in a ring, so that no hall sends more than one copy out.
+  // Pieces pass from hall to hall in a ring, so that no hall sends more than one copy to other
+  // halls.
   auto next = m_halls.upper_bound(m_self.hall);
   if (next == m_halls.end())
     next = m_halls.begin();
@@ -153,13 +156,14 @@
 
 bool Swarm::IsOriginHallIdle(TimePoint now)
 {
-  // Its members bring pieces to it; as long as they answer they are given more time.
+  // The members of the origin's hall fetch its pieces. Other halls wait longer while these members
+  // answer.
   const bool is_answering = now - m_origin_hall_contact_at < HALL_SILENT_AFTER;
-  // What the own hall brings in meanwhile does not count.
+  // Pieces that the local hall fetches in the meantime do not reset this time.
   const Duration waited = now - std::max(m_last_outside_availability_at, m_view_confirmed_at);
   const bool is_idle = waited >= (is_answering ? REACHABLE_HALL_PATIENCES : SILENT_HALL_PATIENCES) *
                                      m_options.patience;
-  // Who has taken over goes on until the origin's hall answers again.
+  // A takeover lasts until the origin's hall answers again.
   m_has_taken_over = is_idle || (m_has_taken_over && !is_answering);
   return m_has_taken_over;
 }
@@ -171,8 +175,9 @@
   const bool is_in_other_hall = m_available_outside_at[piece] != TimePoint();
   if (!IsInOriginHall() && is_in_other_hall)
     return m_available_outside_at[piece] + wait;
-  // The origin sends one piece after the other, so that the first ones are passed on early. If it
-  // is slower than planned, that is not the fault of those whose turn it was.
+  // The origin sends the pieces one after another, so that the first pieces can be distributed
+  // early. If the origin is slower than planned, the later ranks wait for its delay as well,
+  // because the member whose turn it was has not failed.
   const Duration origin_delay = m_hall_ranks[piece] > 0 ? m_origin_delay : Duration::zero();
   return PlannedFetchAt(piece) + origin_delay + wait;
 }
@@ -226,7 +231,7 @@
   if (was_down)
   {
     PlanFetches(now);
-    // The origin's hall is told of it, too, and comes first.
+    // The piece is announced to the origin's hall too, and that hall takes precedence.
     if (!std::exchange(m_has_yielded_to_origin_hall, true))
       m_last_outside_availability_at = now;
   }
@@ -234,7 +239,7 @@
   {
     return false;
   }
-  // The origin answers others again.
+  // The origin serves other instances again, so the local backoff ends.
   origin.backoff = Duration::zero();
   origin.blocked_until = std::min(origin.blocked_until, now);
   if (was_down)
@@ -287,7 +292,7 @@
 {
   std::uint32_t open = OpenOutsideFetches();
   const std::uint32_t window = IsLinkNarrow(now) ? 1 : m_options.outside_window;
-  // The same for all pieces, and looked up only if one is asked for.
+  // The value is the same for all pieces and is computed only when a piece needs it.
   std::optional<bool> may_use_origin;
   for (const std::uint32_t piece : m_outside_order)
   {
@@ -302,7 +307,7 @@
     const auto source = SelectOutsideSource(piece, *may_use_origin, now);
     if (!source)
       continue;
-    // Who comes after is told, the others wait for their turn.
+    // A member after the first rank announces its claim; the other members wait for their turn.
     if (m_hall_ranks[piece] > 0)
       Claim(piece, actions);
     StartFetch(piece, *source, now, actions);
@@ -319,7 +324,7 @@
           ? m_options.window_in_all
           : std::min(m_options.window_while_lacking, m_options.window_in_all);
   const std::uint32_t window = IsLinkNarrow(now) ? 1 : configured;
-  // What is brought in from outside fills the link too.
+  // Fetches from the platform's sources use the local link too.
   const std::uint32_t outside = m_platform_outstanding;
   return window > outside ? window - outside : 1;
 }
@@ -353,7 +358,7 @@
 
 Duration Swarm::StallTime(TimePoint now) const
 {
-  // Pieces that share a narrow link take long, through no fault of those who send them.
+  // On a narrow local link, concurrent transfers are slow although the senders have no fault.
   static constexpr int NARROW_LINK_FACTOR = 3;
   const bool is_slow = m_options.adapts_window && (IsLinkNarrow(now) || IsLocalLinkSilent(now));
   return is_slow ? NARROW_LINK_FACTOR * m_options.stall : m_options.stall;
@@ -361,10 +366,10 @@
 
 void Swarm::ScheduleSlowHedges(TimePoint now, Actions* actions)
 {
-  // A second copy would only make a narrow link slower.
+  // A second copy would slow a narrow link further.
   if (IsLinkNarrow(now))
     return;
-  // Nothing new is left to ask for: what is slow in coming is asked of a second neighbour.
+  // No further piece can be requested, so slow fetches are repeated at a second neighbour.
   std::vector<Fetch> slow;
   for (const auto& [id, fetch] : m_fetches)
   {
--- a/Source/Core/Distribution/SwarmSchedule.cpp
+++ b/Source/Core/Distribution/SwarmSchedule.cpp
@@ -3,19 +3,20 @@
 
 #include <algorithm>
 
-// What a swarm asks for next, and of whom.
+// Selects the next fetches of a swarm and their sources.
 namespace Holdpost::Distribution
 {
 using Common::Duration;
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// Nothing is fetched from the origin before the neighbours said what they hold, or for so long.
+// Maximum time for which the first fetch from the origin waits for the neighbours' announcements.
 static constexpr Duration NEIGHBOUR_REPLY_TIME = Milliseconds(300);
 static constexpr Duration MANIFEST_REPLY_TIME = Milliseconds(20);
-// Members of a hall ask another hall for the manifest one after the other.
+// Interval at which the members of a hall request the manifest from another hall, in the order of
+// their ranks.
 static constexpr Duration MANIFEST_TURN = Milliseconds(60);
-// Only the last pieces are asked of two peers, so that hedging costs little.
+// Only the last pieces are requested from two peers, which limits the cost of hedging.
 static constexpr std::uint32_t HEDGED_PIECES = 4;
 
 void Swarm::ScheduleFetches(TimePoint now, Actions* actions)
@@ -51,8 +52,9 @@
   for (auto& [name, neighbour] : m_neighbours)
   {
     if (m_is_manifest_doubted || m_manifest_in_flight > 0)
-      break; // they may have it from the same source
-    // One of the hall brings the manifest in, others when that takes too long.
+      break; // the neighbours may hold a manifest from the same source
+    // One member of the hall fetches the manifest from another hall; the others follow if that
+    // takes too long.
     const bool may_request = !neighbour.is_remote || now - *m_last_availability_at >=
                                                          m_manifest_rank_in_hall * MANIFEST_TURN;
     if (neighbour.has_manifest && may_request && MayRequestFrom(neighbour, now))
@@ -62,7 +64,7 @@
     }
   }
   const bool has_waited = now - *m_last_availability_at >= m_manifest_rank * m_options.patience;
-  // A manifest is small, so the neighbours' answers are not awaited for long.
+  // A manifest is small, so the wait for the neighbours' announcements is short.
   const bool is_view_usable = m_options.is_named_by_content
                                   ? MayUseOrigin(now)
                                   : m_is_view_confirmed && UsableSource(now) &&
@@ -118,7 +120,7 @@
 
 std::optional<std::uint32_t> Swarm::RarestPiece(TimePoint now)
 {
-  // Reservoir choice among the rarest, so that peers don't all ask for the same piece.
+  // Reservoir sampling among the rarest pieces, so that peers request different pieces.
   std::optional<std::uint32_t> best;
   std::uint32_t best_availability = 0;
   std::uint64_t ties = 0;
@@ -198,7 +200,7 @@
 
 bool Swarm::MayUseOrigin(TimePoint now) const
 {
-  // Neighbours may hold it all already: their answers are awaited for a moment.
+  // The neighbours may hold all pieces already, so the swarm waits briefly for their announcements.
   const bool has_replies =
       now - m_view_confirmed_at >= NEIGHBOUR_REPLY_TIME ||
       std::ranges::all_of(m_neighbours, [](const auto& entry)
--- a/Source/Core/Distribution/SwarmTransfers.cpp
+++ b/Source/Core/Distribution/SwarmTransfers.cpp
@@ -5,7 +5,7 @@
 #include <numeric>
 #include <utility>
 
-// What a swarm makes of what its fetches brought: manifests, pieces, and failures.
+// Handles the results of a swarm's fetches: manifests, pieces and failures.
 namespace Holdpost::Distribution
 {
 using Common::Bytes;
@@ -58,7 +58,8 @@
   }
   m_pieces_to_reverify.clear();
   m_is_manifest_doubted = false;
-  // Now that pieces have numbers, tell the neighbours and ask what they hold.
+  // The piece numbers are known now, so each neighbour gets a full announcement and is asked for
+  // its pieces.
   for (auto& [name, neighbour] : m_neighbours)
   {
     neighbour.held = PieceSet(count);
@@ -70,7 +71,8 @@
 
 bool Swarm::IsConfirmed(const Fetch& fetch, const Bytes& data)
 {
-  // Peers pass on what was confirmed; what the origin sends may be corrupt and still be readable.
+  // Peers send only confirmed manifests. A manifest from the origin may be corrupt although it can
+  // be decoded.
   if (m_options.is_named_by_content || !fetch.peer.empty())
     return true;
   const Bytes previous = std::exchange(m_manifest_copy, data);
@@ -150,7 +152,7 @@
 
 void Swarm::DoubtManifest(std::uint32_t piece, TimePoint now, Actions* actions)
 {
-  // So many corrupt copies of one piece: the manifest may be what is corrupt.
+  // After this number of corrupt copies of one piece, the manifest itself may be corrupt.
   static constexpr std::uint32_t MAX_CORRUPT_COPIES = 4;
   if (m_options.is_named_by_content || ++m_corrupt_from_origin[piece] < MAX_CORRUPT_COPIES)
     return;
@@ -197,7 +199,7 @@
   const bool is_absent = fetch.source == PlatformSource::Store && error.kind == ErrorKind::NotFound;
   if (is_absent)
   {
-    // Not every version is in the weight store; the origin has them all.
+    // The weight store need not hold every version; the origin holds all versions.
     state.blocked_until = now + STORE_MISS_PAUSE;
     return;
   }
@@ -224,7 +226,8 @@
       now + (is_busy ? Duration(error.retry_after.value_or(Milliseconds(50))) : MIN_BACKOFF);
   if (error.kind == ErrorKind::PieceNotHeld)
   {
-    // Its holdings were believed wrongly, as after a restart: ask anew.
+    // The recorded holdings of the peer are out of date, for example after its restart, so they are
+    // requested again.
     ClearHoldings(found->second);
     SendFullAnnouncement(fetch.peer, true, actions);
   }
--- a/Source/Core/Distribution/Uploads.cpp
+++ b/Source/Core/Distribution/Uploads.cpp
@@ -11,7 +11,7 @@
 using Common::TimePoint;
 
 static constexpr Common::Duration MAX_PAUSE = Milliseconds(500);
-// A receiver that has said nothing for so long is not waited for.
+// A piece that is not confirmed within this time no longer counts as unconfirmed.
 static constexpr Common::Duration UNCONFIRMED_LIFETIME = Milliseconds(1500);
 
 void Uploads::SetLimits(std::uint64_t bytes_per_second, LinkPacing pacing, std::size_t max_waiting,
@@ -31,7 +31,8 @@
       m_waiting.size() >= m_max_waiting || (m_waiting.size() > 1 && backlog > m_max_wait);
   if (is_full && !is_urgent)
   {
-    // Room comes when the backlog is back under the limit, and with every piece that goes out.
+    // The queue has capacity when the backlog is below the limit again, and after each piece that
+    // is sent.
     const Common::Duration over = std::max(backlog - m_max_wait, m_waiting.front().ends - now);
     const auto wait = std::chrono::ceil<Milliseconds>(over);
     actions->push_back(CountTransfer{TransferEvent::RequestRefused});
@@ -46,7 +47,7 @@
   const auto added = m_waiting.insert(position, {tag, std::move(data), starts, ends, is_urgent});
   if (is_urgent)
   {
-    // It takes the first place behind other urgent ones, and those behind it move back.
+    // The urgent piece follows the other urgent pieces, and the pieces behind it are delayed.
     const auto index = static_cast<std::size_t>(added - m_waiting.begin());
     if (index + 1 < m_waiting.size())
       added->starts = m_waiting[index + 1].starts;
@@ -87,7 +88,8 @@
   if (!sent)
     return;
   m_tracker.OnTransfer(now - sent.mapped().at, std::max(sent.mapped().concurrent, in_flight), now);
-  // On a link that is narrower than it should be, other traffic gets as long as a piece took.
+  // On a link that is narrower than expected, other traffic gets a pause as long as the transfer of
+  // one piece.
   if (m_tracker.IsNarrow(now))
     m_pause_until = now + std::min(m_tracker.NarrowPieceTime(now), MAX_PAUSE);
 }
@@ -99,13 +101,14 @@
   if (found == m_waiting.end())
     return;
   const auto index_removed = static_cast<std::size_t>(found - m_waiting.begin());
-  // With a budget the first one is being sent while it waits. On the wire none is, and one that
-  // nobody waits for any more would hold up the others until its confirmation is given up.
+  // With a budget, the first queued piece is already in transfer. With a physical link, no queued
+  // piece is, and sending an abandoned piece would block the others until its confirmation times
+  // out.
   const bool is_in_transfer =
       m_pacing == LinkPacing::Budget && (index_removed == 0 || DueAt(*found) <= now);
   if (is_in_transfer)
     return;
-  // The place on the link goes to those behind.
+  // The pieces behind the removed piece get its booking on the link.
   const TimePoint position = found->starts;
   m_waiting.erase(found);
   if (index_removed == m_waiting.size())
@@ -141,7 +144,7 @@
   TimePoint next = std::max(DueAt(m_waiting.front()), m_pause_until);
   if (MustWait(next))
   {
-    // Usually a confirmation comes first and calls Advance.
+    // A confirmation usually arrives earlier and calls Advance.
     const auto oldest = std::ranges::min_element(m_unconfirmed, {},
                                                  [](const auto& entry) { return entry.second.at; });
     next = std::max(next, oldest->second.at + UNCONFIRMED_LIFETIME);
--- a/Source/Core/Distribution/Uploads.h
+++ b/Source/Core/Distribution/Uploads.h
@@ -10,31 +10,32 @@
 #include "Core/Distribution/LinkBudget.h"
 #include "Core/Distribution/LinkWatch.h"
 
-// The queue of pieces that peers have asked for, sent in order within the link's budget.
+// The queue of pieces that peers have requested. Pieces are sent in order within the link's budget.
 namespace Holdpost::Distribution
 {
 class Uploads
 {
 public:
-  // `wait_most`: a piece that could not be sent within so long is refused, so that the receiver
-  // asks elsewhere instead of taking us for stalled.
+  // A request is refused if its piece could not be sent within `max_wait`, so that the receiver
+  // asks another peer and does not treat this instance as stalled.
   void SetLimits(std::uint64_t bytes_per_second, LinkPacing pacing, std::size_t max_waiting,
                  Common::Duration max_wait);
-  // Queues the piece, or refuses at once with the time when there will be room. Urgent ones go
-  // before the others and are not refused.
+  // Queues the piece, or refuses the request immediately with the delay after which the queue will
+  // have capacity. Urgent pieces precede the others and are never refused.
   void Add(RequestTag tag, Common::Bytes data, bool is_urgent, Common::TimePoint now,
            Actions* actions);
-  // The receiver does not wait for it any more, or has it.
+  // The receiver has the piece or no longer waits for it.
   void Remove(RequestTag tag, Common::TimePoint now);
-  // With a limit, receivers say when they have a piece, and no more than so many are on the way: on
-  // a link that is narrower than it should be, other traffic waits for one piece at most.
-  // `piece_time` is what a piece takes on the link when nothing else is on it.
+  // Limits the number of sent pieces that their receivers have not confirmed yet; 0 means that
+  // receivers send no confirmations. On a link that is narrower than expected the limit is 1, so
+  // that other traffic waits for one piece at most. `piece_time` is the expected duration of the
+  // transfer of one piece on an otherwise idle link.
   void SetMaxUnconfirmed(std::size_t max_unconfirmed, Common::Duration piece_time)
   {
     m_max_unconfirmed = max_unconfirmed;
     m_tracker.SetPieceTime(piece_time);
   }
-  // Sends what is due.
+  // Sends the pieces that are due.
   void Advance(Common::TimePoint now, Actions* actions);
   std::optional<Common::TimePoint> NextWakeup() const;
 
@@ -43,17 +44,17 @@
   {
     RequestTag tag;
     Common::Bytes data;
-    // When the link is free for it, and when it is through.
+    // Booked start and end of the transfer on the link.
     Common::TimePoint starts;
     Common::TimePoint ends;
     bool is_urgent = false;
   };
 
-  // A piece that its receiver has not confirmed yet.
+  // A sent piece that its receiver has not confirmed yet.
   struct UnconfirmedUpload
   {
     Common::TimePoint at;
-    // Pieces that were on the way then.
+    // Number of unconfirmed pieces at the time of sending, including this one.
     std::size_t concurrent = 1;
   };
 
@@ -61,7 +62,7 @@
   LinkPacing m_pacing = LinkPacing::Budget;
   std::size_t m_max_waiting = 64;
   Common::Duration m_max_wait = Common::Milliseconds(1000);
-  // Gives all that wait new places on the link, from `first` on.
+  // Books the link again for the queued pieces from index `first` on.
   void Rebook(std::size_t first);
   Common::TimePoint DueAt(const QueuedUpload& waiting) const;
   bool MustWait(Common::TimePoint now) const;
--- a/Source/UnitTests/Core/Distribution/UploadsTest.cpp
+++ b/Source/UnitTests/Core/Distribution/UploadsTest.cpp
@@ -17,7 +17,7 @@
 const Common::TimePoint START{std::chrono::hours(1)};
 }
 
-TEST_CASE("Uploads that are confirmed")
+TEST_CASE("Uploads with a limit of unconfirmed pieces")
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 64, Milliseconds(1000));
@@ -27,25 +27,25 @@
     uploads.Add(tag, Common::MakeBytes(std::string(1000, 'x')), false, START, &actions);
   CHECK(Take<AnswerPiece>(actions).size() == 2);
 
-  SUBCASE("the next goes out when one has arrived")
+  SUBCASE("the next piece is sent when a receiver confirms one")
   {
     uploads.Remove(1, START + Milliseconds(40));
     uploads.Advance(START + Milliseconds(40), &actions);
     CHECK(Take<AnswerPiece>(actions).at(0).tag == 3);
   }
-  SUBCASE("no wake-up comes before something can be done")
+  SUBCASE("no wake-up is scheduled before a piece can be sent")
   {
     REQUIRE(uploads.NextWakeup().has_value());
     CHECK(*uploads.NextWakeup() > START + Milliseconds(500));
   }
-  SUBCASE("a receiver that says nothing is not waited for")
+  SUBCASE("a receiver that confirms nothing stops blocking the uploads after a limited time")
   {
     uploads.Advance(START + Milliseconds(2000), &actions);
     CHECK(Take<AnswerPiece>(actions).size() == 2);
   }
 }
 
-TEST_CASE("What is for another hall goes first and is not refused")
+TEST_CASE("An urgent piece for another hall is sent first and is not refused")
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 2, Milliseconds(1000));
@@ -53,7 +53,7 @@
   Actions actions;
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, Common::MakeBytes("x"), false, START, &actions);
-  // One is on its way, two wait, the fourth is refused.
+  // One piece is unconfirmed, two are queued, and the fourth request is refused.
   CHECK(Take<AnswerPiece>(actions).size() == 2);
   uploads.Add(5, Common::MakeBytes("x"), true, START, &actions);
   CHECK(Take<AnswerPiece>(actions).empty());
@@ -62,7 +62,7 @@
   CHECK(Take<AnswerPiece>(actions).at(0).tag == 5);
 }
 
-TEST_CASE("What its receiver gave up does not hold up the pieces behind it")
+TEST_CASE("A piece that its receiver no longer waits for does not delay the pieces behind it")
 {
   Uploads uploads;
   uploads.SetLimits(1'000'000, LinkPacing::Wire, 3, Milliseconds(300));
@@ -71,7 +71,7 @@
   for (RequestTag tag = 1; tag <= 3; ++tag)
     uploads.Add(tag, Common::MakeBytes(std::string(1000, 'x')), false, START, &actions);
   CHECK(Take<AnswerPiece>(actions).at(0).tag == 1);
-  // The second is due, and waits for the first one's confirmation only.
+  // The second piece is due and waits only for the confirmation of the first.
   const Common::TimePoint later = START + Milliseconds(900);
   uploads.Remove(2, later);
   uploads.Remove(1, later);
@@ -81,7 +81,7 @@
   CHECK(sent[0].tag == 3);
 }
 
-TEST_CASE("A narrow link is left to others for as long as pieces take")
+TEST_CASE("On a narrow link, uploads pause after transfers")
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 64, Milliseconds(1000));
@@ -91,13 +91,13 @@
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, Common::MakeBytes("x"), false, now, &actions);
   Take<AnswerPiece>(actions);
-  SUBCASE("that end together, as they share the link")
+  SUBCASE("that end at the same time because they share the link")
   {
     now += Milliseconds(1100);
     for (RequestTag tag = 1; tag <= 4; ++tag)
       uploads.Remove(tag, now);
   }
-  SUBCASE("that end one after the other, while others are sent")
+  SUBCASE("that end one after another while further pieces are sent")
   {
     for (RequestTag tag = 5; tag <= 8; ++tag)
       uploads.Add(tag, Common::MakeBytes("x"), false, now, &actions);
@@ -119,7 +119,7 @@
   CHECK(Take<AnswerPiece>(actions).size() == 1);
 }
 
-TEST_CASE("A link is narrow when all transfers on it are slow")
+TEST_CASE("A link is narrow if nearly all transfers on it are slow")
 {
   LinkTracker tracker;
   tracker.SetPieceTime(Milliseconds(30));
@@ -132,7 +132,7 @@
       tracker.OnTransfer(Milliseconds(ms), concurrent, now);
     }
   };
-  SUBCASE("a few are needed to tell")
+  SUBCASE("three slow transfers are needed to detect it")
   {
     transfers({500, 600}, 1);
     CHECK_FALSE(tracker.IsNarrow(now));
@@ -140,30 +140,30 @@
     CHECK(tracker.IsNarrow(now));
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
-  SUBCASE("one fast one may have been on the way before")
+  SUBCASE("one fast transfer in four may have started earlier, and the link is still narrow")
   {
     transfers({500, 600, 450, 60}, 1);
     CHECK(tracker.IsNarrow(now));
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
-  SUBCASE("two show that it is not")
+  SUBCASE("two fast transfers in five show that the link is not narrow")
   {
     transfers({500, 600, 450, 60, 60}, 1);
     CHECK_FALSE(tracker.IsNarrow(now));
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(0));
   }
-  SUBCASE("both ends of a good link may share it")
+  SUBCASE("transfers that share a good link at both ends do not make it narrow")
   {
     transfers({180, 180, 180, 180}, 1);
     transfers({320, 320, 320, 320}, 5);
     CHECK_FALSE(tracker.IsNarrow(now));
   }
-  SUBCASE("those that share a narrow one take as many times as long")
+  SUBCASE("the piece time is the duration divided by the number of concurrent transfers")
   {
     transfers({1500, 1500, 1500}, 5);
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(300));
   }
-  SUBCASE("what was seen long ago says nothing")
+  SUBCASE("expired samples prove nothing")
   {
     transfers({500, 600, 450}, 1);
     CHECK_FALSE(tracker.IsNarrow(now + Milliseconds(11000)));
--- a/Source/UnitTests/Core/DistributionTest.cpp
+++ b/Source/UnitTests/Core/DistributionTest.cpp
@@ -24,7 +24,7 @@
   return names;
 }
 
-TEST_CASE("A manifest names a version")
+TEST_CASE("A manifest identifies a version")
 {
   const Manifest manifest = MakeManifest("m", std::string(2500, 'a'), 1024);
   CHECK(manifest.PieceCount() == 3);
@@ -33,7 +33,7 @@
   const std::string text = EncodeManifest(manifest);
   REQUIRE(Common::Succeeded(DecodeManifest(text)));
 
-  SUBCASE("one whose parts do not fit together is refused")
+  SUBCASE("a manifest with inconsistent fields is refused")
   {
     Manifest wrong = manifest;
     SUBCASE("no piece size")
@@ -50,13 +50,13 @@
     }
     CHECK_FALSE(Common::Succeeded(DecodeManifest(EncodeManifest(wrong))));
   }
-  SUBCASE("and so is one that is cut off")
+  SUBCASE("a truncated manifest is refused")
   {
     CHECK_FALSE(Common::Succeeded(DecodeManifest(text.substr(0, text.size() / 2))));
   }
 }
 
-TEST_CASE("Sets of pieces travel as bitmaps")
+TEST_CASE("A set of pieces is encoded as a bitmap and decoded again")
 {
   PieceSet set(11);
   CHECK(set.Insert(0));
@@ -69,7 +69,7 @@
   CHECK(PieceSet::FromBitmap(std::string(100, '\xff'), 11).Count() == 11);
 }
 
-TEST_CASE("Everyone computes the same ranks alone")
+TEST_CASE("All agents compute the same ranks without communication")
 {
   const auto names = MakeNames(16);
   const Common::Digest version = Common::Sha256("v");
@@ -87,7 +87,7 @@
   CHECK(std::ranges::count(first, 1) == 200);
 }
 
-TEST_CASE("Pieces are dealt out evenly, in the same order by everyone")
+TEST_CASE("Pieces are assigned evenly, and all agents compute the same order")
 {
   const Common::Digest version = Common::Sha256("v");
   std::vector<std::string> names = MakeNames(16);
@@ -106,7 +106,7 @@
   }
   for (const auto& [name, count] : first)
     CHECK(count == 6);
-  // One that nobody knows of comes after all others.
+  // An unknown member ranks after all members.
   CHECK(assignment.RankOf("stranger", 5) == 16);
   CHECK(PieceAssignment(version, {"alone"}).FirstMembers(7, 3) ==
         std::vector<std::string>{"alone"});
@@ -132,7 +132,7 @@
         CHECK(std::ranges::count(chosen[other], name) == 1);
     }
   }
-  SUBCASE("reach everyone in a few steps, across halls too")
+  SUBCASE("connect all agents within a few steps, also across halls")
   {
     std::set<std::string> reached = {"agent-0"};
     int steps = 0;
@@ -143,13 +143,13 @@
     }
     CHECK(steps <= 4);
   }
-  SUBCASE("of a lone instance are none")
+  SUBCASE("do not exist for a single instance")
   {
     CHECK(ChooseNeighbours(version, "agent-0", "oslo-a", {}, 16).empty());
   }
 }
 
-TEST_CASE("Uploads keep to the link's budget")
+TEST_CASE("Uploads stay within the link's budget")
 {
   const Common::TimePoint start{std::chrono::hours(1)};
   Uploads uploads;
@@ -159,19 +159,19 @@
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, piece, false, start, &actions);
 
-  SUBCASE("a piece goes out when the link would have carried it")
+  SUBCASE("a piece is sent when the link would have carried it")
   {
     const auto sent = [&](Milliseconds at)
     {
       actions.clear();
       uploads.Advance(start + at, &actions);
-      return actions.size() / 2; // each with its count
+      return actions.size() / 2; // each answer comes with a counter action
     };
     CHECK(sent(Milliseconds(499)) == 0);
     CHECK(sent(Milliseconds(500)) == 1);
     CHECK(sent(Milliseconds(1499)) == 1);
   }
-  SUBCASE("what would wait too long is refused with the time to come back")
+  SUBCASE("a request that would wait too long is refused with a retry delay")
   {
     const auto* answer = std::get_if<AnswerPiece>(&actions.back());
     REQUIRE(answer);
@@ -181,7 +181,7 @@
     CHECK(error->kind == Common::ErrorKind::SourceBusy);
     CHECK(error->retry_after == Milliseconds(500));
   }
-  SUBCASE("a request that was given up leaves its place to those behind")
+  SUBCASE("a withdrawn request leaves its booking to the requests behind it")
   {
     uploads.Remove(2, start);
     actions.clear();
--- a/Source/UnitTests/Core/SwarmTest.cpp
+++ b/Source/UnitTests/Core/SwarmTest.cpp
@@ -12,7 +12,7 @@
 
 namespace
 {
-// One agent's swarm, with the weights at hand to answer its fetches.
+// One agent's swarm, and the weights with which the tests answer its fetches.
 struct Fixture
 {
   Fixture()
@@ -29,7 +29,7 @@
                                     &shared);
   }
 
-  // The fetches asked for since the last call.
+  // Returns the fetches requested since the last call.
   std::vector<FetchPiece> Fetches()
   {
     std::vector<FetchPiece> fetches;
@@ -54,7 +54,7 @@
     now += time;
     swarm->OnTick(now, &actions);
   }
-  // Gets the manifest from the origin, with `others` as fetchers and neighbours.
+  // Fetches the manifest from the origin, with `others` as fetchers and neighbours.
   void FetchManifest(const std::vector<std::string>& others)
   {
     std::vector<Fetcher> fetchers;
@@ -86,7 +86,7 @@
 };
 } // namespace
 
-TEST_CASE("An instance that knows nobody")
+TEST_CASE("An instance without known peers")
 {
   Fixture f;
   f.swarm->SetPeers({}, {}, f.now, &f.actions);
@@ -96,19 +96,20 @@
     f.AdvanceTime(Milliseconds(1000));
     CHECK(f.Fetches().empty());
   }
-  SUBCASE("fetches all once its patience is over")
+  SUBCASE("starts to fetch when its patience has expired")
   {
     f.AdvanceTime(Milliseconds(100));
     f.AdvanceTime(Milliseconds(1500));
     CHECK(f.Fetches().size() == 1);
   }
-  SUBCASE("has no turn left from the manifest once it has come, so that nothing wakes it in vain")
+  SUBCASE("has no wake-up left over from the manifest, so that nothing calls OnTick in vain")
   {
     f.FetchManifest({});
     f.AdvanceTime(Milliseconds(100));
     CHECK(f.swarm->NextTurnStart() > f.now);
   }
-  SUBCASE("fetches all at once with a confirmed view, and holds the version when all is verified")
+  SUBCASE("fetches immediately with a confirmed view, and holds the version when all pieces are "
+          "verified")
   {
     f.FetchManifest({});
     for (int round = 0; round < 10 && !f.has_version; ++round)
@@ -121,7 +122,7 @@
   }
 }
 
-TEST_CASE("Pieces are verified before they count")
+TEST_CASE("Pieces are verified before they are held")
 {
   Fixture f;
   f.FetchManifest({"peer"});
@@ -131,18 +132,18 @@
   REQUIRE(!fetches.empty());
   REQUIRE(fetches[0].peer == "peer");
 
-  SUBCASE("a wrong piece is dropped and asked for again")
+  SUBCASE("a piece with wrong content is dropped")
   {
     f.Answer(fetches[0], Common::MakeBytes(std::string(1024, 'x')));
     CHECK(f.swarm->Piece(fetches[0].piece) == nullptr);
     CHECK(f.swarm->PiecesHeld() == 0);
   }
-  SUBCASE("so is one of the wrong length")
+  SUBCASE("a piece of the wrong length is dropped")
   {
     f.Answer(fetches[0], Common::MakeBytes(f.ExpectedBytes(fetches[0])->substr(1)));
     CHECK(f.swarm->PiecesHeld() == 0);
   }
-  SUBCASE("a peer that repeats it is shunned")
+  SUBCASE("a peer that sends a second wrong piece is shunned")
   {
     f.Answer(fetches[0], Common::MakeBytes("x"));
     f.Answer(fetches[1], Common::MakeBytes("x"));
@@ -152,7 +153,7 @@
     for (const FetchPiece& fetch : f.Fetches())
       CHECK(fetch.peer != "peer");
   }
-  SUBCASE("an answer to a fetch that was cancelled is dropped")
+  SUBCASE("the answer to a cancelled fetch is dropped")
   {
     f.swarm->OnPeerLost("peer", f.now, &f.actions);
     f.Answer(fetches[0], f.ExpectedBytes(fetches[0]));
@@ -170,7 +171,7 @@
   std::erase_if(fetches, [](const FetchPiece& fetch) { return fetch.peer != "slow"; });
   REQUIRE(fetches.size() >= 2);
 
-  SUBCASE("is judged by progress: while pieces come, the rest may take its time")
+  SUBCASE("keeps its open fetches while other pieces arrive from it")
   {
     f.AdvanceTime(Milliseconds(2900));
     f.Answer(fetches[0], f.ExpectedBytes(fetches[0]));
@@ -179,7 +180,7 @@
     for (const Action& action : f.actions)
       CHECK_FALSE(std::holds_alternative<CancelFetch>(action));
   }
-  SUBCASE("is given up when nothing comes, and its pieces are taken elsewhere")
+  SUBCASE("loses its fetches when it sends nothing, and another peer is asked for the pieces")
   {
     f.Announce("good", {0, 1, 2, 3, 4, 5, 6, 7});
     f.Fetches();
@@ -191,11 +192,11 @@
   }
 }
 
-TEST_CASE("A source that says when to come back is left alone until then")
+TEST_CASE("A source that refuses with a retry delay gets no request before the delay has passed")
 {
   Fixture f;
   f.FetchManifest({});
-  // First the weight store, then the origin asks to be left alone.
+  // The weight store refuses first, then the origin.
   for (const PlatformSource source : {PlatformSource::Store, PlatformSource::Origin})
   {
     const auto fetches = f.Fetches();
@@ -213,9 +214,9 @@
   CHECK(!f.Fetches().empty());
 }
 
-TEST_CASE("An instance that knows no other one fetches all from the origin")
+TEST_CASE("An instance without known peers fetches all pieces from the platform")
 {
-  // It reads the platform alone, and the list of instances is not there yet.
+  // The instance is the only one that reads the platform, and it has no list of instances yet.
   Fixture f;
   SwarmOptions options;
   options.shares_crossings = true;
