--- a/Source/Core/Distribution/Actions.h
+++ b/Source/Core/Distribution/Actions.h
@@ -21,8 +21,8 @@
 // Identifies an unanswered piece request of another instance.
 using RequestTag = std::uint64_t;
 
-// The platform's two sources of weights. Both limit their load and send the time of the next
-// allowed attempt with a refusal.
+// The platform's two sources of weights. Both limit their load, and their refusals state the time
+// of the next allowed attempt.
 enum class PlatformSource
 {
   Store,
--- a/Source/Core/Distribution/Exchange.h
+++ b/Source/Core/Distribution/Exchange.h
@@ -38,8 +38,8 @@
   // Sets the other agents and the version that each of them wants.
   void SetCandidates(std::vector<NeighbourCandidate> candidates, Common::TimePoint now,
                      Actions* actions);
-  // Confirms that the candidates of the last SetCandidates call come from a membership view that is
-  // newer than every version wanted so far.
+  // Confirms that the candidates of the last SetCandidates call come from a membership view that
+  // was read after every Want call so far.
   void OnViewConfirmed(Common::TimePoint now, Actions* actions);
   // Starts to fetch a version. Has no effect if the version is wanted already.
   void Want(const Common::Digest& version, Common::TimePoint now, Actions* actions);
--- a/Source/Core/Distribution/Neighbours.cpp
+++ b/Source/Core/Distribution/Neighbours.cpp
@@ -6,7 +6,7 @@
 
 namespace Holdpost::Distribution
 {
-// 1 of this number of links goes to another hall.
+// One in this number of links goes to another hall, but 2 links at least.
 static constexpr std::size_t OTHER_HALL_LINK_DIVISOR = 4;
 
 // Adds `count` neighbours in total, from both directions of the ring. All members compute the same
--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -33,14 +33,15 @@
   Common::Duration patience = Common::Milliseconds(1500);
   // The fetches from a source that delivers nothing for this time are cancelled.
   Common::Duration stall = Common::Milliseconds(3000);
-  // Maximum delay before the next request to a source of the platform that failed.
+  // Maximum backoff after a failed request to a source of the platform. A retry delay that the
+  // source states replaces the backoff.
   Common::Duration backoff_most = Common::Milliseconds(5000);
   std::uint32_t window_per_peer = 1;
   std::uint32_t platform_window = 4;
   std::uint32_t window_in_all = 16;
-  // Upper bound of `window_in_all` while the hall still has to fetch pieces of this or another
+  // Upper bound of the total window while the hall still has to fetch pieces of this or another
   // version from outside. These pieces have priority because all instances of the hall wait for
-  // them.
+  // them. The bound applies only with `adapts_window`.
   std::uint32_t window_while_lacking = 16;
   // Requests the last pieces from a second peer too.
   bool may_hedge = true;
@@ -199,15 +200,15 @@
   std::optional<std::uint32_t> NextOriginPiece(Common::TimePoint now, bool* is_takeover) const;
   std::optional<std::uint32_t> RarestPiece(Common::TimePoint now);
   // Returns the neighbour with the fewest open requests among those that hold the piece; empty if
-  // no such neighbour accepts a request now.
+  // no such neighbour may receive a request now.
   std::string SelectPeer(std::uint32_t piece, Common::TimePoint now, const std::string& except);
   bool MayRequestFrom(const Neighbour& neighbour, Common::TimePoint now) const;
-  // Returns whether the neighbour is in the same hall, holds the piece and accepts a request now.
+  // Returns whether the neighbour is not remote, holds the piece and may receive a request now.
   bool MayRequestPiece(const Neighbour& neighbour, std::uint32_t piece,
                        Common::TimePoint now) const;
   bool IsInOtherHall(const std::string& peer) const;
-  // Returns whether a neighbour of the same hall that neither stalls nor is shunned holds the
-  // piece.
+  // Returns whether a neighbour that is not remote, has not stalled since its last piece and is not
+  // shunned holds the piece.
   bool IsAvailableNearby(std::uint32_t piece) const;
   void OnSourceProgress(const Fetch& fetch, Common::TimePoint now);
   void StartFetch(std::uint32_t piece, const std::string& peer, Common::TimePoint now,
@@ -244,7 +245,7 @@
   // value if the piece has to wait.
   std::optional<std::string> SelectOutsideSource(std::uint32_t piece, bool may_use_origin,
                                                  Common::TimePoint now);
-  // Returns whether neither this instance nor a neighbour of the same hall holds the piece.
+  // Returns whether neither this instance nor a neighbour that is not remote holds the piece.
   bool IsUnavailable(std::uint32_t piece) const
   {
     return !m_held.Contains(piece) && m_availability[piece] == 0;
@@ -278,8 +279,8 @@
   // Returns whether the hall still has to fetch pieces from outside and its sources deliver.
   bool IsHallIncomplete(Common::TimePoint now) const;
   bool IsLinkNarrow(Common::TimePoint now) const;
-  // Returns whether more than one source owes a piece and none of them has delivered for the stall
-  // time, which indicates a fault of the local link.
+  // Returns whether fetches from more than one source are open and no piece has arrived for the
+  // stall time, which indicates a fault of the local link.
   bool IsLocalLinkSilent(Common::TimePoint now) const;
   // Returns the time without progress after which a fetch counts as stalled.
   Common::Duration StallTime(Common::TimePoint now) const;
@@ -324,15 +325,16 @@
   std::vector<std::uint32_t> m_plan_position;
   // Time at which a new piece last arrived in the hall.
   Common::TimePoint m_last_piece_in_hall_at{};
-  // Plan position after the last piece received from the origin, and the origin's delay against the
-  // plan.
+  // The plan position that follows the last piece that arrived in the hall, and the delay of the
+  // origin relative to the plan.
   std::uint32_t m_plan_fetched_end = 0;
   Common::Duration m_origin_delay{};
   // Earliest start of this instance's turn among the pieces that wait for it.
   Common::TimePoint m_next_turn_start = Common::TimePoint::max();
   Common::TimePoint m_resync_due{};
   Common::TimePoint m_origin_hall_contact_at{};
-  // Time of the last announcement from another hall of a piece that this instance lacks.
+  // Time of the last announcement from another hall of a piece that this instance lacks. Also set
+  // when this hall yields to the origin's hall after an outage.
   Common::TimePoint m_last_outside_availability_at{};
   bool m_has_taken_over = false;
   // Set when the origin is available again after an outage and this hall has given the origin's
--- a/Source/Core/Distribution/SwarmHalls.cpp
+++ b/Source/Core/Distribution/SwarmHalls.cpp
@@ -36,11 +36,11 @@
 // and MIN_TURN at least.
 static constexpr int TURN_PIECE_TIMES = 16;
 static constexpr Duration MIN_TURN = Milliseconds(150);
-// The source counts as down if no piece arrives in the hall for this multiple of the piece time,
+// The origin counts as down if no piece arrives in the hall for this multiple of the piece time,
 // and for MIN_OUTAGE at least.
 static constexpr int OUTAGE_PIECE_TIMES = 16;
 static constexpr Duration MIN_OUTAGE = Milliseconds(1000);
-// More doublings of MIN_OUTAGE would overflow a time value.
+// Limits the doublings of MIN_OUTAGE, which would overflow for large ranks.
 static constexpr std::uint32_t MAX_PROBE_RANK = 12;
 
 void Swarm::ComputeRanks()
@@ -307,7 +307,8 @@
     const auto source = SelectOutsideSource(piece, *may_use_origin, now);
     if (!source)
       continue;
-    // A member after the first rank announces its claim; the other members wait for their turn.
+    // A member with a rank above 0 announces its claim. The members with later ranks wait for their
+    // turn.
     if (m_hall_ranks[piece] > 0)
       Claim(piece, actions);
     StartFetch(piece, *source, now, actions);
@@ -358,7 +359,7 @@
 
 Duration Swarm::StallTime(TimePoint now) const
 {
-  // On a narrow local link, concurrent transfers are slow although the senders have no fault.
+  // On a narrow local link, concurrent transfers are slow although the senders are not.
   static constexpr int NARROW_LINK_FACTOR = 3;
   const bool is_slow = m_options.adapts_window && (IsLinkNarrow(now) || IsLocalLinkSilent(now));
   return is_slow ? NARROW_LINK_FACTOR * m_options.stall : m_options.stall;
--- a/Source/Core/Distribution/SwarmSchedule.cpp
+++ b/Source/Core/Distribution/SwarmSchedule.cpp
@@ -12,6 +12,7 @@
 
 // Maximum time for which the first fetch from the origin waits for the neighbours' announcements.
 static constexpr Duration NEIGHBOUR_REPLY_TIME = Milliseconds(300);
+// The same maximum for the first request of the manifest.
 static constexpr Duration MANIFEST_REPLY_TIME = Milliseconds(20);
 // Interval at which the members of a hall request the manifest from another hall, in the order of
 // their ranks.
--- a/Source/UnitTests/Core/Distribution/UploadsTest.cpp
+++ b/Source/UnitTests/Core/Distribution/UploadsTest.cpp
@@ -17,7 +17,7 @@
 const Common::TimePoint START{std::chrono::hours(1)};
 }
 
-TEST_CASE("Uploads with a limit of unconfirmed pieces")
+TEST_CASE("Uploads with a limit on unconfirmed pieces")
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 64, Milliseconds(1000));
@@ -140,19 +140,19 @@
     CHECK(tracker.IsNarrow(now));
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
-  SUBCASE("one fast transfer in four may have started earlier, and the link is still narrow")
+  SUBCASE("the link is narrow although one transfer in four was fast")
   {
     transfers({500, 600, 450, 60}, 1);
     CHECK(tracker.IsNarrow(now));
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
-  SUBCASE("two fast transfers in five show that the link is not narrow")
+  SUBCASE("the link is not narrow if two transfers in five were fast")
   {
     transfers({500, 600, 450, 60, 60}, 1);
     CHECK_FALSE(tracker.IsNarrow(now));
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(0));
   }
-  SUBCASE("transfers that share a good link at both ends do not make it narrow")
+  SUBCASE("transfers that share the links at both ends do not make the link narrow")
   {
     transfers({180, 180, 180, 180}, 1);
     transfers({320, 320, 320, 320}, 5);
@@ -163,7 +163,7 @@
     transfers({1500, 1500, 1500}, 5);
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(300));
   }
-  SUBCASE("expired samples prove nothing")
+  SUBCASE("the link does not count as narrow after the samples have expired")
   {
     transfers({500, 600, 450}, 1);
     CHECK_FALSE(tracker.IsNarrow(now + Milliseconds(11000)));
