--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -209,7 +209,7 @@
   bool IsInOtherHall(const std::string& peer) const;
   // Returns whether a neighbour that is not remote, has not stalled since its last piece and is not
   // shunned holds the piece.
-  bool IsAvailableNearby(std::uint32_t piece) const;
+  bool IsHeldByUsableNeighbour(std::uint32_t piece) const;
   void OnSourceProgress(const Fetch& fetch, Common::TimePoint now);
   void StartFetch(std::uint32_t piece, const std::string& peer, Common::TimePoint now,
                   Actions* actions);
--- a/Source/Core/Distribution/SwarmHalls.cpp
+++ b/Source/Core/Distribution/SwarmHalls.cpp
@@ -298,7 +298,7 @@
   {
     if (open >= window)
       return;
-    if (m_held.Contains(piece) || m_in_flight[piece] > 0 || IsAvailableNearby(piece) ||
+    if (m_held.Contains(piece) || m_in_flight[piece] > 0 || IsHeldByUsableNeighbour(piece) ||
         IsClaimed(piece, now))
       continue;
     if (!may_use_origin)
@@ -326,8 +326,8 @@
           : std::min(m_options.window_while_lacking, m_options.window_in_all);
   const std::uint32_t window = IsLinkNarrow(now) ? 1 : configured;
   // Fetches from the platform's sources use the local link too.
-  const std::uint32_t outside = m_platform_outstanding;
-  return window > outside ? window - outside : 1;
+  const std::uint32_t platform_fetches = m_platform_outstanding;
+  return window > platform_fetches ? window - platform_fetches : 1;
 }
 
 bool Swarm::IsHallIncomplete(TimePoint now) const
--- a/Source/Core/Distribution/SwarmSchedule.cpp
+++ b/Source/Core/Distribution/SwarmSchedule.cpp
@@ -12,7 +12,8 @@
 
 // Maximum time for which the first fetch from the origin waits for the neighbours' announcements.
 static constexpr Duration NEIGHBOUR_REPLY_TIME = Milliseconds(300);
-// The same maximum for the first request of the manifest.
+// Delay between the confirmation of the view and the first request of the manifest from the origin,
+// if versions are not named by content.
 static constexpr Duration MANIFEST_REPLY_TIME = Milliseconds(20);
 // Interval at which the members of a hall request the manifest from another hall, in the order of
 // their ranks.
@@ -84,7 +85,7 @@
   std::optional<std::uint32_t> takeover;
   for (const std::uint32_t piece : m_origin_order)
   {
-    if (m_held.Contains(piece) || m_in_flight[piece] > 0 || IsAvailableNearby(piece))
+    if (m_held.Contains(piece) || m_in_flight[piece] > 0 || IsHeldByUsableNeighbour(piece))
       continue;
     if (m_ranks[piece] == 0)
       return piece;
@@ -182,14 +183,14 @@
 {
   if (m_held.Size() - m_held.Count() > HEDGED_PIECES)
     return;
-  std::vector<Fetch> single;
+  std::vector<Fetch> unhedged;
   for (const auto& [id, fetch] : m_fetches)
   {
     if (fetch.piece != MANIFEST_PIECE && m_in_flight[fetch.piece] == 1 &&
         now - fetch.started >= m_options.stall / 4)
-      single.push_back(fetch);
+      unhedged.push_back(fetch);
   }
-  for (const Fetch& fetch : single)
+  for (const Fetch& fetch : unhedged)
   {
     const std::string source = SelectPeer(fetch.piece, now, fetch.peer);
     if (source.empty())
@@ -223,7 +224,7 @@
   return std::nullopt;
 }
 
-bool Swarm::IsAvailableNearby(std::uint32_t piece) const
+bool Swarm::IsHeldByUsableNeighbour(std::uint32_t piece) const
 {
   return m_availability[piece] > 0 &&
          std::ranges::any_of(m_neighbours,
--- a/Source/Core/Distribution/Uploads.cpp
+++ b/Source/Core/Distribution/Uploads.cpp
@@ -33,8 +33,8 @@
   {
     // The queue has capacity when the backlog is below the limit again, and after each piece that
     // is sent.
-    const Common::Duration over = std::max(backlog - m_max_wait, m_waiting.front().ends - now);
-    const auto wait = std::chrono::ceil<Milliseconds>(over);
+    const Common::Duration excess = std::max(backlog - m_max_wait, m_waiting.front().ends - now);
+    const auto wait = std::chrono::ceil<Milliseconds>(excess);
     actions->push_back(CountTransfer{TransferEvent::RequestRefused});
     actions->push_back(AnswerPiece{tag, Error{ErrorKind::SourceBusy, "the upload queue is full",
                                               std::max(wait, Milliseconds(1))}});
@@ -87,7 +87,8 @@
   const auto sent = m_unconfirmed.extract(tag);
   if (!sent)
     return;
-  m_tracker.OnTransfer(now - sent.mapped().at, std::max(sent.mapped().concurrent, in_flight), now);
+  m_tracker.OnTransfer(now - sent.mapped().sent_at, std::max(sent.mapped().concurrent, in_flight),
+                       now);
   // On a link that is narrower than expected, other traffic gets a pause as long as the transfer of
   // one piece.
   if (m_tracker.IsNarrow(now))
@@ -108,19 +109,19 @@
       m_pacing == LinkPacing::Budget && (index_removed == 0 || DueAt(*found) <= now);
   if (is_in_transfer)
     return;
-  // The pieces behind the removed piece get its booking on the link.
-  const TimePoint position = found->starts;
+  // The pieces behind the removed piece are booked again, from its booked start on.
+  const TimePoint booked_start = found->starts;
   m_waiting.erase(found);
   if (index_removed == m_waiting.size())
-    return m_link.Rewind(position);
-  m_waiting[index_removed].starts = position;
+    return m_link.Rewind(booked_start);
+  m_waiting[index_removed].starts = booked_start;
   Rebook(index_removed);
 }
 
 void Uploads::Advance(TimePoint now, Actions* actions)
 {
-  std::erase_if(m_unconfirmed,
-                [now](const auto& entry) { return now - entry.second.at > UNCONFIRMED_LIFETIME; });
+  std::erase_if(m_unconfirmed, [now](const auto& entry)
+                { return now - entry.second.sent_at > UNCONFIRMED_LIFETIME; });
   while (!m_waiting.empty() && DueAt(m_waiting.front()) <= now)
   {
     if (MustWait(now))
@@ -145,9 +146,9 @@
   if (MustWait(next))
   {
     // A confirmation usually arrives earlier and calls Advance.
-    const auto oldest = std::ranges::min_element(m_unconfirmed, {},
-                                                 [](const auto& entry) { return entry.second.at; });
-    next = std::max(next, oldest->second.at + UNCONFIRMED_LIFETIME);
+    const auto oldest = std::ranges::min_element(
+        m_unconfirmed, {}, [](const auto& entry) { return entry.second.sent_at; });
+    next = std::max(next, oldest->second.sent_at + UNCONFIRMED_LIFETIME);
   }
   return next;
 }
--- a/Source/Core/Distribution/Uploads.h
+++ b/Source/Core/Distribution/Uploads.h
@@ -53,7 +53,7 @@
   // A sent piece that its receiver has not confirmed yet.
   struct UnconfirmedUpload
   {
-    Common::TimePoint at;
+    Common::TimePoint sent_at;
     // Number of unconfirmed pieces at the time of sending, including this one.
     std::size_t concurrent = 1;
   };
--- a/Source/UnitTests/Core/Distribution/UploadsTest.cpp
+++ b/Source/UnitTests/Core/Distribution/UploadsTest.cpp
@@ -146,7 +146,7 @@
     CHECK(tracker.IsNarrow(now));
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
-  SUBCASE("the link is not narrow if two transfers in five were fast")
+  SUBCASE("two fast transfers in five show that the link is not narrow")
   {
     transfers({500, 600, 450, 60, 60}, 1);
     CHECK_FALSE(tracker.IsNarrow(now));
@@ -163,7 +163,7 @@
     transfers({1500, 1500, 1500}, 5);
     CHECK(tracker.NarrowPieceTime(now) == Milliseconds(300));
   }
-  SUBCASE("the link does not count as narrow after the samples have expired")
+  SUBCASE("expired samples say nothing about the link")
   {
     transfers({500, 600, 450}, 1);
     CHECK_FALSE(tracker.IsNarrow(now + Milliseconds(11000)));
--- a/Source/UnitTests/Core/SwarmTest.cpp
+++ b/Source/UnitTests/Core/SwarmTest.cpp
@@ -102,7 +102,7 @@
     f.AdvanceTime(Milliseconds(1500));
     CHECK(f.Fetches().size() == 1);
   }
-  SUBCASE("schedules no further wake-up for the manifest after it is received")
+  SUBCASE("has no wake-up left over from the manifest, so that nothing calls OnTick needlessly")
   {
     f.FetchManifest({});
     f.AdvanceTime(Milliseconds(100));
