--- a/Source/Core/Distribution/LinkWatch.h
+++ b/Source/Core/Distribution/LinkWatch.h
@@ -7,41 +7,46 @@
 
 #include "Common/Types.h"
 
-// Tells whether this instance's own link is narrower than it should be, from how long transfers
-// take and how many share the link: a slow peer makes some of them long, a narrow link all of them.
+// Detects a local link that is slower (narrower) than expected from the durations of the transfers
+// and the number of concurrent transfers. A slow peer prolongs some transfers, a narrow local link
+// prolongs all of them.
 namespace Holdpost::Distribution
 {
-class LinkWatch
+class LinkTracker
 {
 public:
-  // What a transfer takes on a link when nothing else is on it.
+  // Sets the expected duration of one transfer on an otherwise idle link.
   void SetPieceTime(Common::Duration piece_time) { m_piece_time = piece_time; }
-  // A transfer ended, or is known to take at least so long, while up to `at_once` went on.
-  void OnTransfer(Common::Duration took, std::size_t at_once, Common::TimePoint now)
+  // Records a transfer that ended after `took`, or that has been open for `took` without an end. Up
+  // to `concurrent` transfers were open at the same time.
+  void OnTransfer(Common::Duration took, std::size_t concurrent, Common::TimePoint now)
   {
-    const auto count = static_cast<Common::Duration::rep>(std::max<std::size_t>(at_once, 1));
-    m_samples[m_next] = {took / count, took > SLOW * (count + OTHER_END) * m_piece_time / 2};
+    const auto count = static_cast<Common::Duration::rep>(std::max<std::size_t>(concurrent, 1));
+    m_samples[m_next] = {took / count, took > SLOW_FACTOR_HALVES * (count + MAX_REMOTE_SHARERS) *
+                                                  m_piece_time / 2};
     m_next = (m_next + 1) % m_samples.size();
     m_count = std::min(m_count + 1, m_samples.size());
     m_last = now;
   }
-  // Whether nearly all of the last few transfers took longer than a good link explains.
+  // Returns whether nearly all of the last few transfers took longer than a link of the expected
+  // rate explains.
   bool IsNarrow(Common::TimePoint now) const
   {
-    return m_count >= ENOUGH && now - m_last < LIFETIME && FastOnes() <= m_count / FAST_SHARE;
+    return m_count >= MIN_SAMPLES && now - m_last < SAMPLE_LIFETIME &&
+           FastSamples() <= m_count / FAST_SAMPLE_DIVISOR;
   }
-  // The link time of a piece, while the link is narrow; zero on one that is as it should be.
+  // Returns the transfer time of one piece while the link is narrow, otherwise zero.
   Common::Duration NarrowPieceTime(Common::TimePoint now) const
   {
     if (!IsNarrow(now))
       return Common::Duration::zero();
-    Common::Duration least = Common::Duration::max();
+    Common::Duration shortest = Common::Duration::max();
     for (std::size_t i = 0; i < m_count; ++i)
     {
       if (m_samples[i].is_slow)
-        least = std::min(least, m_samples[i].link_time);
+        shortest = std::min(shortest, m_samples[i].link_time);
     }
-    return least;
+    return shortest;
   }
 
 private:
@@ -51,21 +56,22 @@
     bool is_slow = false;
   };
 
-  std::size_t FastOnes() const
+  std::size_t FastSamples() const
   {
     return static_cast<std::size_t>(
         std::count_if(m_samples.begin(), m_samples.begin() + static_cast<std::ptrdiff_t>(m_count),
                       [](const Sample& sample) { return !sample.is_slow; }));
   }
 
-  static constexpr std::size_t ENOUGH = 3;
-  // One of so many may be fast, as when it was on the way before.
-  static constexpr std::size_t FAST_SHARE = 4;
-  // The other end shares its link between so many on average, at most.
-  static constexpr int OTHER_END = 3;
-  // In halves: what is over one and a half times what is explained is slow.
-  static constexpr int SLOW = 3;
-  static constexpr Common::Milliseconds LIFETIME = Common::Milliseconds(10000);
+  static constexpr std::size_t MIN_SAMPLES = 3;
+  // On a narrow link, up to 1 of this number of samples may be fast, for example a transfer that
+  // started before the link became narrow.
+  static constexpr std::size_t FAST_SAMPLE_DIVISOR = 4;
+  // Maximum of the average number of transfers that share the link at the remote end.
+  static constexpr int MAX_REMOTE_SHARERS = 3;
+  // A transfer is slow if it takes more than 1.5 times (3 halves) the explained duration.
+  static constexpr int SLOW_FACTOR_HALVES = 3;
+  static constexpr Common::Milliseconds SAMPLE_LIFETIME = Common::Milliseconds(10000);
 
   Common::Duration m_piece_time{};
   std::array<Sample, 5> m_samples{};
--- a/Source/UnitTests/Core/Distribution/UploadsTest.cpp
+++ b/Source/UnitTests/Core/Distribution/UploadsTest.cpp
@@ -17,43 +17,43 @@
 const Common::TimePoint START{std::chrono::hours(1)};
 }
 
-TEST_CASE("Uploads that are confirmed")
+TEST_CASE("Uploads with a limit on unconfirmed pieces")
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 64, Milliseconds(1000));
-  uploads.SetUnconfirmedMost(2, Milliseconds(30));
+  uploads.SetMaxUnconfirmed(2, Milliseconds(30));
   Actions actions;
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, Common::MakeBytes(std::string(1000, 'x')), false, START, &actions);
   CHECK(Take<AnswerPiece>(actions).size() == 2);
 
-  SUBCASE("the next goes out when one has arrived")
+  SUBCASE("the next piece is sent when a receiver confirms one")
   {
     uploads.Remove(1, START + Milliseconds(40));
     uploads.Advance(START + Milliseconds(40), &actions);
     CHECK(Take<AnswerPiece>(actions).at(0).tag == 3);
   }
-  SUBCASE("no wake-up comes before something can be done")
+  SUBCASE("no wake-up is scheduled before a piece can be sent")
   {
     REQUIRE(uploads.NextWakeup().has_value());
     CHECK(*uploads.NextWakeup() > START + Milliseconds(500));
   }
-  SUBCASE("a receiver that says nothing is not waited for")
+  SUBCASE("a receiver that confirms nothing stops blocking the uploads after a limited time")
   {
     uploads.Advance(START + Milliseconds(2000), &actions);
     CHECK(Take<AnswerPiece>(actions).size() == 2);
   }
 }
 
-TEST_CASE("What is for another hall goes first and is not refused")
+TEST_CASE("An urgent piece for another hall is sent first and is not refused")
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 2, Milliseconds(1000));
-  uploads.SetUnconfirmedMost(1, Milliseconds(30));
+  uploads.SetMaxUnconfirmed(1, Milliseconds(30));
   Actions actions;
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, Common::MakeBytes("x"), false, START, &actions);
-  // One is on its way, two wait, the fourth is refused.
+  // One piece is unconfirmed, two are queued, and the fourth request is refused.
   CHECK(Take<AnswerPiece>(actions).size() == 2);
   uploads.Add(5, Common::MakeBytes("x"), true, START, &actions);
   CHECK(Take<AnswerPiece>(actions).empty());
@@ -62,16 +62,16 @@
   CHECK(Take<AnswerPiece>(actions).at(0).tag == 5);
 }
 
-TEST_CASE("What its receiver gave up does not hold up the pieces behind it")
+TEST_CASE("A piece that its receiver no longer waits for does not delay the pieces behind it")
 {
   Uploads uploads;
   uploads.SetLimits(1'000'000, LinkPacing::Wire, 3, Milliseconds(300));
-  uploads.SetUnconfirmedMost(1, Milliseconds(1));
+  uploads.SetMaxUnconfirmed(1, Milliseconds(1));
   Actions actions;
   for (RequestTag tag = 1; tag <= 3; ++tag)
     uploads.Add(tag, Common::MakeBytes(std::string(1000, 'x')), false, START, &actions);
   CHECK(Take<AnswerPiece>(actions).at(0).tag == 1);
-  // The second is due, and waits for the first one's confirmation only.
+  // The second piece is due and waits only for the confirmation of the first.
   const Common::TimePoint later = START + Milliseconds(900);
   uploads.Remove(2, later);
   uploads.Remove(1, later);
@@ -81,35 +81,35 @@
   CHECK(sent[0].tag == 3);
 }
 
-TEST_CASE("A narrow link is left to others for as long as pieces take")
+TEST_CASE("On a narrow link, uploads pause after transfers")
 {
   Uploads uploads;
   uploads.SetLimits(0, LinkPacing::Budget, 64, Milliseconds(1000));
-  uploads.SetUnconfirmedMost(4, Milliseconds(30));
+  uploads.SetMaxUnconfirmed(4, Milliseconds(30));
   Actions actions;
   Common::TimePoint now = START;
   for (RequestTag tag = 1; tag <= 4; ++tag)
     uploads.Add(tag, Common::MakeBytes("x"), false, now, &actions);
   Take<AnswerPiece>(actions);
-  SUBCASE("that end together, as they share the link")
+  SUBCASE("that end at the same time because they share the link")
   {
     now += Milliseconds(1100);
     for (RequestTag tag = 1; tag <= 4; ++tag)
       uploads.Remove(tag, now);
   }
-  SUBCASE("that end one after the other, while others are sent")
+  SUBCASE("that end one after another while further pieces are sent")
   {
     for (RequestTag tag = 5; tag <= 8; ++tag)
       uploads.Add(tag, Common::MakeBytes("x"), false, now, &actions);
-    std::deque<RequestTag> on_the_way = {1, 2, 3, 4};
-    while (!on_the_way.empty())
+    std::deque<RequestTag> in_flight = {1, 2, 3, 4};
+    while (!in_flight.empty())
     {
       now += Milliseconds(275);
-      uploads.Remove(on_the_way.front(), now);
-      on_the_way.pop_front();
+      uploads.Remove(in_flight.front(), now);
+      in_flight.pop_front();
       uploads.Advance(now, &actions);
       for (const AnswerPiece& answer : Take<AnswerPiece>(actions))
-        on_the_way.push_back(answer.tag);
+        in_flight.push_back(answer.tag);
     }
   }
   for (RequestTag tag = 21; tag <= 24; ++tag)
@@ -119,53 +119,53 @@
   CHECK(Take<AnswerPiece>(actions).size() == 1);
 }
 
-TEST_CASE("A link is narrow when all transfers on it are slow")
+TEST_CASE("A link is narrow if nearly all transfers on it are slow")
 {
-  LinkWatch watch;
-  watch.SetPieceTime(Milliseconds(30));
+  LinkTracker tracker;
+  tracker.SetPieceTime(Milliseconds(30));
   Common::TimePoint now = START;
-  const auto transfers = [&](std::initializer_list<int> times, std::size_t at_once)
+  const auto transfers = [&](std::initializer_list<int> times, std::size_t concurrent)
   {
     for (const int ms : times)
     {
       now += Milliseconds(100);
-      watch.OnTransfer(Milliseconds(ms), at_once, now);
+      tracker.OnTransfer(Milliseconds(ms), concurrent, now);
     }
   };
-  SUBCASE("a few are needed to tell")
+  SUBCASE("three slow transfers are needed to detect it")
   {
     transfers({500, 600}, 1);
-    CHECK_FALSE(watch.IsNarrow(now));
+    CHECK_FALSE(tracker.IsNarrow(now));
     transfers({450}, 1);
-    CHECK(watch.IsNarrow(now));
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(450));
+    CHECK(tracker.IsNarrow(now));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
-  SUBCASE("one fast one may have been on the way before")
+  SUBCASE("the link is narrow although one transfer in four was fast")
   {
     transfers({500, 600, 450, 60}, 1);
-    CHECK(watch.IsNarrow(now));
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(450));
+    CHECK(tracker.IsNarrow(now));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
   }
-  SUBCASE("two show that it is not")
+  SUBCASE("two fast transfers in five show that the link is not narrow")
   {
     transfers({500, 600, 450, 60, 60}, 1);
-    CHECK_FALSE(watch.IsNarrow(now));
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(0));
+    CHECK_FALSE(tracker.IsNarrow(now));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(0));
   }
-  SUBCASE("both ends of a good link may share it")
+  SUBCASE("transfers that share the links at both ends do not make the link narrow")
   {
     transfers({180, 180, 180, 180}, 1);
     transfers({320, 320, 320, 320}, 5);
-    CHECK_FALSE(watch.IsNarrow(now));
+    CHECK_FALSE(tracker.IsNarrow(now));
   }
-  SUBCASE("those that share a narrow one take as many times as long")
+  SUBCASE("the piece time is the duration divided by the number of concurrent transfers")
   {
     transfers({1500, 1500, 1500}, 5);
-    CHECK(watch.NarrowPieceTime(now) == Milliseconds(300));
+    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(300));
   }
-  SUBCASE("what was seen long ago says nothing")
+  SUBCASE("expired samples say nothing about the link")
   {
     transfers({500, 600, 450}, 1);
-    CHECK_FALSE(watch.IsNarrow(now + Milliseconds(11000)));
+    CHECK_FALSE(tracker.IsNarrow(now + Milliseconds(11000)));
   }
 }
--- a/Source/UnitTests/Core/SwarmTest.cpp
+++ b/Source/UnitTests/Core/SwarmTest.cpp
@@ -12,7 +12,7 @@
 
 namespace
 {
-// One agent's swarm, with the weights at hand to answer its fetches.
+// One agent's swarm, and the weights with which the tests answer its fetches.
 struct Fixture
 {
   Fixture()
@@ -29,7 +29,7 @@
                                     &shared);
   }
 
-  // The fetches asked for since the last call.
+  // Returns the fetches requested since the last call.
   std::vector<FetchPiece> Fetches()
   {
     std::vector<FetchPiece> fetches;
@@ -41,7 +41,7 @@
     }
     return fetches;
   }
-  Bytes Right(const FetchPiece& fetch) const
+  Bytes ExpectedBytes(const FetchPiece& fetch) const
   {
     return fetch.piece == MANIFEST_PIECE ? manifest : pieces[fetch.piece];
   }
@@ -49,13 +49,13 @@
   {
     swarm->OnFetched(fetch.id, result, now, &actions);
   }
-  void Pass(Common::Duration time)
+  void AdvanceTime(Common::Duration time)
   {
     now += time;
     swarm->OnTick(now, &actions);
   }
-  // Gets the manifest from the origin, with `others` as fetchers and neighbours.
-  void GetManifest(const std::vector<std::string>& others)
+  // Fetches the manifest from the origin, with `others` as fetchers and neighbours.
+  void FetchManifest(const std::vector<std::string>& others)
   {
     std::vector<Fetcher> fetchers;
     fetchers.reserve(others.size());
@@ -67,7 +67,7 @@
     {
       for (const FetchPiece& fetch : Fetches())
         Answer(fetch, manifest);
-      Pass(Milliseconds(100));
+      AdvanceTime(Milliseconds(100));
     }
   }
   void Announce(const std::string& peer, const std::vector<std::uint32_t>& held)
@@ -86,76 +86,77 @@
 };
 } // namespace
 
-TEST_CASE("An instance that knows nobody")
+TEST_CASE("An instance without known peers")
 {
   Fixture f;
   f.swarm->SetPeers({}, {}, f.now, &f.actions);
 
   SUBCASE("fetches nothing before its view is confirmed")
   {
-    f.Pass(Milliseconds(1000));
+    f.AdvanceTime(Milliseconds(1000));
     CHECK(f.Fetches().empty());
   }
-  SUBCASE("fetches all once its patience is over")
+  SUBCASE("starts to fetch when its patience has expired")
   {
-    f.Pass(Milliseconds(100));
-    f.Pass(Milliseconds(1500));
+    f.AdvanceTime(Milliseconds(100));
+    f.AdvanceTime(Milliseconds(1500));
     CHECK(f.Fetches().size() == 1);
   }
-  SUBCASE("has no turn left from the manifest once it has come, so that nothing wakes it in vain")
+  SUBCASE("has no wake-up left over from the manifest, so that nothing calls OnTick needlessly")
   {
-    f.GetManifest({});
-    f.Pass(Milliseconds(100));
-    CHECK(f.swarm->NextTurn() > f.now);
+    f.FetchManifest({});
+    f.AdvanceTime(Milliseconds(100));
+    CHECK(f.swarm->NextTurnStart() > f.now);
   }
-  SUBCASE("fetches all at once with a confirmed view, and holds the version when all is verified")
+  SUBCASE("fetches immediately with a confirmed view, and holds the version when all pieces are "
+          "verified")
   {
-    f.GetManifest({});
+    f.FetchManifest({});
     for (int round = 0; round < 10 && !f.has_version; ++round)
     {
       for (const FetchPiece& fetch : f.Fetches())
-        f.Answer(fetch, f.Right(fetch));
+        f.Answer(fetch, f.ExpectedBytes(fetch));
     }
     CHECK(f.has_version);
     CHECK(f.swarm->IsHeld());
   }
 }
 
-TEST_CASE("Pieces are verified before they count")
+TEST_CASE("Pieces are verified before they are held")
 {
   Fixture f;
-  f.GetManifest({"peer"});
+  f.FetchManifest({"peer"});
   f.Fetches();
   f.Announce("peer", {0, 1, 2, 3, 4, 5, 6, 7});
   auto fetches = f.Fetches();
   REQUIRE(!fetches.empty());
   REQUIRE(fetches[0].peer == "peer");
 
-  SUBCASE("a wrong piece is dropped and asked for again")
+  SUBCASE("a piece with wrong content is dropped")
   {
     f.Answer(fetches[0], Common::MakeBytes(std::string(1024, 'x')));
     CHECK(f.swarm->Piece(fetches[0].piece) == nullptr);
     CHECK(f.swarm->PiecesHeld() == 0);
   }
-  SUBCASE("so is one of the wrong length")
+  SUBCASE("a piece of the wrong length is dropped")
   {
-    f.Answer(fetches[0], Common::MakeBytes(f.Right(fetches[0])->substr(1)));
+    f.Answer(fetches[0], Common::MakeBytes(f.ExpectedBytes(fetches[0])->substr(1)));
     CHECK(f.swarm->PiecesHeld() == 0);
   }
-  SUBCASE("a peer that repeats it is shunned")
+  SUBCASE("a peer that sends a second wrong piece is shunned")
   {
     f.Answer(fetches[0], Common::MakeBytes("x"));
     f.Answer(fetches[1], Common::MakeBytes("x"));
     f.Fetches();
     f.Announce("peer", {0, 1, 2, 3, 4, 5, 6, 7});
-    f.Pass(Milliseconds(1000));
+    f.AdvanceTime(Milliseconds(1000));
     for (const FetchPiece& fetch : f.Fetches())
       CHECK(fetch.peer != "peer");
   }
-  SUBCASE("an answer to a fetch that was cancelled is dropped")
+  SUBCASE("the answer to a cancelled fetch is dropped")
   {
     f.swarm->OnPeerLost("peer", f.now, &f.actions);
-    f.Answer(fetches[0], f.Right(fetches[0]));
+    f.Answer(fetches[0], f.ExpectedBytes(fetches[0]));
     CHECK(f.swarm->PiecesHeld() == 0);
   }
 }
@@ -163,27 +164,27 @@
 TEST_CASE("A source that stalls")
 {
   Fixture f;
-  f.GetManifest({"slow", "good"});
+  f.FetchManifest({"slow", "good"});
   f.Fetches();
   f.Announce("slow", {0, 1, 2, 3, 4, 5, 6, 7});
   auto fetches = f.Fetches();
   std::erase_if(fetches, [](const FetchPiece& fetch) { return fetch.peer != "slow"; });
   REQUIRE(fetches.size() >= 2);
 
-  SUBCASE("is judged by progress: while pieces come, the rest may take its time")
+  SUBCASE("keeps its open fetches while other pieces arrive from it")
   {
-    f.Pass(Milliseconds(2900));
-    f.Answer(fetches[0], f.Right(fetches[0]));
+    f.AdvanceTime(Milliseconds(2900));
+    f.Answer(fetches[0], f.ExpectedBytes(fetches[0]));
     f.actions.clear();
-    f.Pass(Milliseconds(2900));
+    f.AdvanceTime(Milliseconds(2900));
     for (const Action& action : f.actions)
       CHECK_FALSE(std::holds_alternative<CancelFetch>(action));
   }
-  SUBCASE("is given up when nothing comes, and its pieces are taken elsewhere")
+  SUBCASE("loses its fetches when it sends nothing, and another peer is asked for the pieces")
   {
     f.Announce("good", {0, 1, 2, 3, 4, 5, 6, 7});
     f.Fetches();
-    f.Pass(Milliseconds(3000));
+    f.AdvanceTime(Milliseconds(3000));
     const auto again = f.Fetches();
     REQUIRE(!again.empty());
     for (const FetchPiece& fetch : again)
@@ -191,11 +192,11 @@
   }
 }
 
-TEST_CASE("A source that says when to come back is left alone until then")
+TEST_CASE("A source that refuses with a retry delay gets no request before the delay has passed")
 {
   Fixture f;
-  f.GetManifest({});
-  // First the weight store, then the origin asks to be left alone.
+  f.FetchManifest({});
+  // The weight store refuses first, then the origin.
   for (const PlatformSource source : {PlatformSource::Store, PlatformSource::Origin})
   {
     const auto fetches = f.Fetches();
@@ -207,15 +208,15 @@
     }
   }
   CHECK(f.Fetches().empty());
-  f.Pass(Milliseconds(600));
+  f.AdvanceTime(Milliseconds(600));
   CHECK(f.Fetches().empty());
-  f.Pass(Milliseconds(100));
+  f.AdvanceTime(Milliseconds(100));
   CHECK(!f.Fetches().empty());
 }
 
-TEST_CASE("An instance that knows no other one fetches all from the origin")
+TEST_CASE("An instance without known peers fetches all pieces from the platform")
 {
-  // It reads the platform alone, and the list of instances is not there yet.
+  // The instance is the only one that reads the platform, and it has no list of instances yet.
   Fixture f;
   SwarmOptions options;
   options.shares_crossings = true;
@@ -225,9 +226,9 @@
   f.swarm->SetPeers({}, {}, f.now, &f.actions);
   for (int i = 0; i < 200 && !f.swarm->IsHeld(); ++i)
   {
-    f.Pass(Milliseconds(100));
+    f.AdvanceTime(Milliseconds(100));
     for (const FetchPiece& fetch : f.Fetches())
-      f.Answer(fetch, f.Right(fetch));
+      f.Answer(fetch, f.ExpectedBytes(fetch));
   }
   CHECK(f.swarm->IsHeld());
 }
