--- a/Source/Core/Control/AnswerPacing.h
+++ b/Source/Core/Control/AnswerPacing.h
@@ -11,12 +11,12 @@
 // copy may still be in transit.
 namespace Holdpost::Control
 {
-class AnswerPacing
+class AnswerThrottle
 {
 public:
   // Returns whether this version may be sent to the peer now. If so, the version is recorded as
   // sent.
-  bool Take(const Common::Address& peer, std::uint64_t version, Common::TimePoint now)
+  bool TryAcquire(const Common::Address& peer, std::uint64_t version, Common::TimePoint now)
   {
     std::erase_if(m_sent,
                   [now](const auto& entry) { return now - entry.second.at >= RESEND_PAUSE; });
--- a/Source/Core/Control/ControlFollower.cpp
+++ b/Source/Core/Control/ControlFollower.cpp
@@ -47,8 +47,8 @@
     m_is_reading_operator = true;
     const bool has_state = m_operator_next > 0 && m_document;
     m_naming_tracker.OnOperatorRequested(!has_state, now);
-    actions->push_back(ReadOperator{has_state ? m_operator_next : 0,
-                                    has_state ? m_options.long_poll : Milliseconds(0)});
+    actions->push_back(ReadOperatorChanges{has_state ? m_operator_next : 0,
+                                           has_state ? m_options.long_poll : Milliseconds(0)});
   }
   if (!m_is_reading_targets && now >= m_targets_due)
   {
@@ -94,7 +94,7 @@
   }
 }
 
-bool ControlFollower::OnOperatorRead(const Result<OperatorRead>& result, TimePoint now)
+bool ControlFollower::OnOperatorRead(const Result<OperatorChanges>& result, TimePoint now)
 {
   m_is_reading_operator = false;
   if (const auto* error = std::get_if<Error>(&result))
@@ -110,7 +110,7 @@
   NoteReachable(true, now);
   m_last_answer = now;
   m_has_read_operator = true;
-  const auto& read = std::get<OperatorRead>(result);
+  const auto& read = std::get<OperatorChanges>(result);
   m_operator_next = read.next;
   if (m_document || read.document)
     m_operator_backoff.Reset();
@@ -192,7 +192,7 @@
   return is_changed;
 }
 
-bool ControlFollower::OfferTargets(const TargetsNews& update)
+bool ControlFollower::OfferTargets(const TargetListChanges& update)
 {
   if (!m_targets.Offer(update))
     return false;
@@ -200,7 +200,7 @@
   return true;
 }
 
-bool ControlFollower::MissesTargets(Position position, Position changed)
+bool ControlFollower::OnPeerTargetsPosition(Position position, Position changed)
 {
   if (m_targets.OnPeerPosition(position, changed))
     return true;
--- a/Source/Core/Control/ControlFollower.h
+++ b/Source/Core/Control/ControlFollower.h
@@ -56,7 +56,7 @@
   void SetReading(bool is_reader);
 
   // Each of these functions returns true if the known state changes.
-  bool OnOperatorRead(const Common::Result<OperatorRead>& result, Common::TimePoint now);
+  bool OnOperatorRead(const Common::Result<OperatorChanges>& result, Common::TimePoint now);
   bool OnTargetsRead(const Common::Result<TargetsRead>& result, Common::TimePoint now);
   // Applies a document that another process sent.
   bool OfferDocument(const std::shared_ptr<const Settings::Document>& document,
@@ -68,21 +68,24 @@
                                                          Common::TimePoint now);
   bool OfferWeights(const NamedWeights& named, const KnownSince& since);
   // Records that another process has announced all versions that were named until this time.
-  void OnToldAll(Common::TimePoint until) { m_naming_tracker.OnToldAll(until); }
+  void OnAllVersionsAnnounced(Common::TimePoint until)
+  {
+    m_naming_tracker.OnAllVersionsAnnounced(until);
+  }
   // Applies target list changes that another process read. They are ignored if earlier changes are
   // missing.
-  bool OfferTargets(const TargetsNews& update);
+  bool OfferTargets(const TargetListChanges& update);
   // Handles the news that another process has read the target list up to `position` and that its
   // last change is at `changed`. Returns whether that process has to be asked for the list, because
   // this process lacks a change.
-  bool MissesTargets(Position position, Position changed);
+  bool OnPeerTargetsPosition(Position position, Position changed);
 
   const std::shared_ptr<const Settings::Document>& Document() const { return m_document; }
   Settings::DocumentVersion Version() const { return m_document ? m_document->version : 0; }
   const Common::Bytes& DocumentText() const { return m_document_text; }
   // The version and the text of the document that was in force before the current one.
-  Settings::DocumentVersion VersionBefore() const { return m_previous_version; }
-  const Common::Bytes& TextBefore() const { return m_previous_text; }
+  Settings::DocumentVersion PreviousVersion() const { return m_previous_version; }
+  const Common::Bytes& PreviousText() const { return m_previous_text; }
   // The newest named versions of each model.
   const std::map<std::string, NamedVersions>& Weights() const { return m_weights; }
   std::vector<Gateway::ListedTarget> Targets() const { return m_targets.All(); }
@@ -92,11 +95,11 @@
   bool HasReadAll() const { return m_has_read_operator && m_has_read_targets; }
   // The position up to which the target list is known, and the position of its last change.
   Position TargetsPosition() const { return m_targets.KnownPosition(); }
-  Position TargetsChanged() const { return m_targets.ChangedPosition(); }
+  Position LastTargetsChange() const { return m_targets.ChangedPosition(); }
   // The changes of the last read, for processes that know the target list up to its base.
-  const TargetsNews& LastTargetsNews() const { return m_targets.LastUpdate(); }
+  const TargetListChanges& LastTargetListChanges() const { return m_targets.LastUpdate(); }
   // The full target list, for processes that know none of it.
-  TargetsNews WholeTargets() const { return m_targets.FullList(); }
+  TargetListChanges FullTargetList() const { return m_targets.FullList(); }
   // The time of the platform's last answer, or the default time point before the first answer.
   Common::TimePoint LastAnswer() const { return m_last_answer; }
   bool IsReachable() const { return m_is_reachable; }
--- a/Source/Core/Control/ControlMessages.h
+++ b/Source/Core/Control/ControlMessages.h
@@ -30,7 +30,7 @@
 };
 
 // The operators' changes since a position.
-struct OperatorRead
+struct OperatorChanges
 {
   std::shared_ptr<const Settings::Document> document; // null if unchanged
   Common::Bytes text;                                 // the document as the platform wrote it
@@ -67,7 +67,7 @@
 };
 
 // Changes of the target list that one process forwards to another.
-struct TargetsNews
+struct TargetListChanges
 {
   // A process that knows the list up to this position needs only the changes; 0 if the changes are
   // the full list.
@@ -79,7 +79,7 @@
 // --- requests to the platform ---
 
 // Reads the operators' changes; the platform waits up to `wait` for a change.
-struct ReadOperator
+struct ReadOperatorChanges
 {
   Position from = 0;
   Common::Milliseconds wait{0};
@@ -90,6 +90,6 @@
   Position from = 0;
 };
 
-using Action = std::variant<ReadOperator, ReadTargets>;
+using Action = std::variant<ReadOperatorChanges, ReadTargets>;
 using Actions = std::vector<Action>;
 } // namespace Holdpost::Control
--- a/Source/Core/Control/NamingWatch.cpp
+++ b/Source/Core/Control/NamingWatch.cpp
@@ -49,17 +49,17 @@
   // A platform that refuses requests immediately is down, and no version is named meanwhile. A
   // platform that does not respond may be behind a saturated link.
   if (m_announced_until && now - m_operator_requested_at < MAX_ANSWER_DELAY)
-    OnToldAll(m_operator_requested_at);
+    OnAllVersionsAnnounced(m_operator_requested_at);
 }
 
 void NamingTracker::OnOperatorAnswered(TimePoint now)
 {
   m_has_failed = false;
-  OnToldAll(now - AnswerDelay(now));
+  OnAllVersionsAnnounced(now - AnswerDelay(now));
   m_read_until = m_announced_until;
 }
 
-void NamingTracker::OnToldAll(TimePoint until)
+void NamingTracker::OnAllVersionsAnnounced(TimePoint until)
 {
   // A process that has received no announcement since this process began has no information about
   // namings that this process may have missed.
--- a/Source/Core/Control/NamingWatch.h
+++ b/Source/Core/Control/NamingWatch.h
@@ -34,7 +34,7 @@
   void OnOperatorFailed(Common::TimePoint now);
   void OnOperatorAnswered(Common::TimePoint now);
   // Records that another process has announced all versions that were named until this time.
-  void OnToldAll(Common::TimePoint until);
+  void OnAllVersionsAnnounced(Common::TimePoint until);
 
   // Whether the current read may return versions that were named before the read was sent.
   bool MayReturnOldNamings() const { return m_may_return_old_namings; }
--- a/Source/Core/Control/ReaderDuty.cpp
+++ b/Source/Core/Control/ReaderDuty.cpp
@@ -38,7 +38,7 @@
 // Readers send a heartbeat every 300 ms, and one heartbeat may be lost.
 static constexpr Duration FAILING_READER_LIFETIME = Milliseconds(700);
 
-ReaderRank RankOf(const Common::Address& process)
+ReaderRank ReaderRankOf(const Common::Address& process)
 {
   return Common::StableHash(process.ToString());
 }
@@ -48,24 +48,24 @@
   return std::clamp(drain_within * 3 / 10, MIN_LIST_PERIOD, MAX_LIST_PERIOD);
 }
 
-bool ReaderDuty::IsFresh(Duration answer_age) const
+bool ReaderElection::IsFresh(Duration answer_age) const
 {
   return answer_age < MAX_ANSWER_AGE;
 }
 
-void ReaderDuty::WaitToBeTold(TimePoint now)
+void ReaderElection::WaitForPeerState(TimePoint now)
 {
   m_is_reader = false;
   m_take_over_at = now + MAX_PEER_STATE_DELAY + Milliseconds(m_random() % START_JITTER_MS);
 }
 
-void ReaderDuty::OnAlone(TimePoint now)
+void ReaderElection::OnNoPeers(TimePoint now)
 {
   if (!m_is_reader && !m_has_reader)
     m_take_over_at = std::min(m_take_over_at, now);
 }
 
-void ReaderDuty::OnReaderBeat(ReaderRank rank, Duration answer_age, TimePoint now)
+void ReaderElection::OnReaderHeartbeat(ReaderRank rank, Duration answer_age, TimePoint now)
 {
   if (!IsFresh(answer_age))
   {
@@ -83,7 +83,7 @@
       std::exchange(m_has_turn, false) ? take_over_at : std::max(m_take_over_at, take_over_at);
 }
 
-bool ReaderDuty::AreOthersFailing(TimePoint now)
+bool ReaderElection::AreOthersFailing(TimePoint now)
 {
   std::erase_if(m_failing,
                 [now](const auto& entry) { return now - entry.second > FAILING_READER_LIFETIME; });
@@ -92,7 +92,7 @@
   return static_cast<std::size_t>(m_is_reader ? before : m_failing.size()) >= MAX_FAILING_READERS;
 }
 
-TimePoint ReaderDuty::NextTurn(TimePoint now)
+TimePoint ReaderElection::NextTurn(TimePoint now)
 {
   const auto pause = static_cast<Milliseconds::rep>(m_process_count) * TURN_PERIOD;
   const auto jitter = static_cast<Milliseconds::rep>(
@@ -100,33 +100,33 @@
   return now + pause / 2 + Milliseconds(jitter);
 }
 
-DutyChange ReaderDuty::OnTick(TimePoint answered, TimePoint now)
+ReadingChange ReaderElection::OnTick(TimePoint answered, TimePoint now)
 {
   if (m_is_reader)
   {
     const bool is_failing = !IsFresh(now - std::max(answered, m_reading_since));
     if (!is_failing || !AreOthersFailing(now))
-      return DutyChange::None;
+      return ReadingChange::None;
     m_is_reader = false;
     m_has_turn = true;
     m_take_over_at = NextTurn(now);
-    return DutyChange::Ends;
+    return ReadingChange::Ends;
   }
   if (now < m_take_over_at)
-    return DutyChange::None;
+    return ReadingChange::None;
   if (!m_has_turn && AreOthersFailing(now))
   {
     m_has_turn = true;
     m_take_over_at = NextTurn(now);
-    return DutyChange::None;
+    return ReadingChange::None;
   }
   m_is_reader = true;
   m_has_turn = false;
   m_reading_since = now;
-  return DutyChange::Begins;
+  return ReadingChange::Begins;
 }
 
-TimePoint ReaderDuty::NextWakeup() const
+TimePoint ReaderElection::NextWakeup() const
 {
   return m_is_reader ? TimePoint::max() : m_take_over_at;
 }
--- a/Source/Core/Control/ReaderDuty.h
+++ b/Source/Core/Control/ReaderDuty.h
@@ -15,42 +15,42 @@
 // The rank of a process among those that can read the platform; the process with the lowest rank
 // keeps reading.
 using ReaderRank = std::uint64_t;
-ReaderRank RankOf(const Common::Address& process);
+ReaderRank ReaderRankOf(const Common::Address& process);
 
 // The interval at which a reader polls the target list, chosen so that a leaving target is known
 // within `drain_within` even if another process has to take over reading first.
 Common::Milliseconds ListPeriod(Common::Milliseconds drain_within);
 
-enum class DutyChange
+enum class ReadingChange
 {
   None,
   Begins,
   Ends,
 };
 
-class ReaderDuty
+class ReaderElection
 {
 public:
   // The process reads from the start until it receives the heartbeat of another reader.
-  ReaderDuty(ReaderRank rank, std::uint64_t seed) : m_rank(rank), m_random(seed) {}
+  ReaderElection(ReaderRank rank, std::uint64_t seed) : m_rank(rank), m_random(seed) {}
 
   // Waits a short time for the state of other processes before anything is requested from the
   // platform.
-  void WaitToBeTold(Common::TimePoint now);
+  void WaitForPeerState(Common::TimePoint now);
   // Ends the wait for peer state: no other process of the hall is known, so none can send its
   // state.
-  void OnAlone(Common::TimePoint now);
+  void OnNoPeers(Common::TimePoint now);
 
   // The number of processes of the hall that can read the platform, including this one.
-  void SetMembers(std::size_t members) { m_process_count = members; }
+  void SetProcessCount(std::size_t members) { m_process_count = members; }
   // Handles the heartbeat of another process of the hall that reads the platform and received its
   // last answer `answer_age` ago.
-  void OnReaderBeat(ReaderRank rank, Common::Duration answer_age, Common::TimePoint now);
+  void OnReaderHeartbeat(ReaderRank rank, Common::Duration answer_age, Common::TimePoint now);
   // Takes over reading when the state from other readers is too old, and limits the number of
   // readers while the platform answers none of them. `answered` is the time of the platform's last
   // answer to this process.
-  DutyChange OnTick(Common::TimePoint answered, Common::TimePoint now);
-  bool Reads() const { return m_is_reader; }
+  ReadingChange OnTick(Common::TimePoint answered, Common::TimePoint now);
+  bool IsReader() const { return m_is_reader; }
   // Whether this process relies on another reader.
   bool IsFollowing() const { return !m_is_reader && m_has_reader; }
   Common::TimePoint NextWakeup() const;
--- a/Source/Core/Control/TargetList.cpp
+++ b/Source/Core/Control/TargetList.cpp
@@ -124,9 +124,9 @@
 
 // Most records of the target list only confirm that a target is still present, and one read may
 // contain several records of the same target. Only the resulting differences are forwarded.
-TargetsNews TargetList::ChangesSince(const TargetsById& before, Position next) const
+TargetListChanges TargetList::ChangesSince(const TargetsById& before, Position next) const
 {
-  TargetsNews update{m_changed_position, next, {}};
+  TargetListChanges update{m_changed_position, next, {}};
   for (const auto& [id, target] : m_targets)
   {
     const auto previous = before.find(id);
@@ -141,16 +141,16 @@
   return update;
 }
 
-TargetsNews TargetList::FullList() const
+TargetListChanges TargetList::FullList() const
 {
-  TargetsNews update{0, m_known_position, {}};
+  TargetListChanges update{0, m_known_position, {}};
   update.changes.reserve(m_targets.size());
   for (const auto& [id, target] : m_targets)
     update.changes.push_back({id, target});
   return update;
 }
 
-bool TargetList::Offer(const TargetsNews& update)
+bool TargetList::Offer(const TargetListChanges& update)
 {
   const bool is_whole = update.base == 0;
   if (update.position <= m_known_position || (!is_whole && m_known_position < update.base))
--- a/Source/Core/Control/TargetList.h
+++ b/Source/Core/Control/TargetList.h
@@ -19,7 +19,7 @@
   bool OnRead(const TargetsRead& read, Common::TimePoint now);
   void OnReadFailed(Common::TimePoint now);
   // Applies changes that another process read. They are ignored if earlier changes are missing.
-  bool Offer(const TargetsNews& update);
+  bool Offer(const TargetListChanges& update);
   // Handles the news that another process has read the list up to `position` and that its last
   // change is at `changed`. Returns whether that process has to be asked for the list, because this
   // process lacks a change.
@@ -32,9 +32,9 @@
   Position KnownPosition() const { return m_known_position; }
   Position ChangedPosition() const { return m_changed_position; }
   // The changes of the last read, for processes that knew the list before it.
-  const TargetsNews& LastUpdate() const { return m_last_update; }
+  const TargetListChanges& LastUpdate() const { return m_last_update; }
   // The full list, for processes that know none of it.
-  TargetsNews FullList() const;
+  TargetListChanges FullList() const;
 
 private:
   using TargetsById = std::map<Gateway::TargetId, Gateway::ListedTarget>;
@@ -46,13 +46,13 @@
   void RemoveLapsed(Common::TimePoint now);
   void NoteAnswered(Common::TimePoint now);
   // The changes to forward to processes that know the list as it was before the read.
-  TargetsNews ChangesSince(const TargetsById& before, Position next) const;
+  TargetListChanges ChangesSince(const TargetsById& before, Position next) const;
 
   TargetsById m_targets;
   bool m_is_known = false;
   Position m_known_position = 0;
   Position m_changed_position = 0;
-  TargetsNews m_last_update;
+  TargetListChanges m_last_update;
   // The time since which the platform has not answered; empty while it answers.
   std::optional<Common::TimePoint> m_failing_since;
   // Records may have lapsed during an outage of the platform; until this time their targets may
--- a/Source/Core/Mesh/Briefing.cpp
+++ b/Source/Core/Mesh/Briefing.cpp
@@ -38,7 +38,7 @@
   return round_trip;
 }
 
-void Briefing::OnBriefingChanged(TimePoint now)
+void BriefingSender::OnBriefingChanged(TimePoint now)
 {
   if (m_is_reader)
     return SendSoon();
@@ -46,7 +46,8 @@
   m_non_reader_due = now + READER_HEAD_START + Milliseconds(jitter);
 }
 
-void Briefing::SetPlan(const WeightsPlan& plan, Settings::DocumentVersion settings, TimePoint now)
+void BriefingSender::SetPlan(const WeightsPlan& plan, Settings::DocumentVersion settings,
+                             TimePoint now)
 {
   if (plan == m_plan)
     return;
@@ -55,8 +56,8 @@
   OnBriefingChanged(now);
 }
 
-void Briefing::SetSidecars(const std::vector<Peer>& sidecars, Control::Position changed,
-                           TimePoint now)
+void BriefingSender::SetSidecars(const std::vector<Peer>& sidecars, Control::Position changed,
+                                 TimePoint now)
 {
   if (sidecars == m_sidecars)
     return;
@@ -69,7 +70,8 @@
   OnBriefingChanged(now);
 }
 
-void Briefing::OnReported(const Common::Address& sidecar, const BriefingStamp& stamp, TimePoint now)
+void BriefingSender::OnReported(const Common::Address& sidecar, const BriefingStamp& stamp,
+                                TimePoint now)
 {
   const auto found = m_sidecar_states.find(sidecar);
   if (found == m_sidecar_states.end())
@@ -78,7 +80,8 @@
   found->second.reported_at = now;
 }
 
-void Briefing::SetWeights(const Control::NamedWeights& named, const Control::KnownSince& since)
+void BriefingSender::SetWeights(const Control::NamedWeights& named,
+                                const Control::KnownSince& since)
 {
   if (m_weights[named.model].Offer({named.version, since}))
     SendSoon();
@@ -86,34 +89,35 @@
 
 // Appends the newest versions of the model with their ages at `now`.
 static void AppendVersions(const std::string& model, const Control::NamedVersions& versions,
-                           TimePoint now, std::vector<ToldWeights>* advertised)
+                           TimePoint now, std::vector<AdvertisedVersion>* advertised)
 {
   const std::vector<Control::KnownVersion>& all = versions.All();
-  for (std::size_t i = all.size() - std::min(all.size(), VERSIONS_TOLD); i < all.size(); ++i)
-    advertised->push_back(ToldWeights::Of(model, all[i].version, all[i].since, now));
+  for (std::size_t i = all.size() - std::min(all.size(), MAX_ADVERTISED_VERSIONS); i < all.size();
+       ++i)
+    advertised->push_back(AdvertisedVersion::Of(model, all[i].version, all[i].since, now));
 }
 
-std::vector<ToldWeights> Briefing::ToldAt(TimePoint now) const
+std::vector<AdvertisedVersion> BriefingSender::AdvertisedVersionsAt(TimePoint now) const
 {
-  std::vector<ToldWeights> advertised;
+  std::vector<AdvertisedVersion> advertised;
   for (const auto& [model, versions] : m_weights)
     AppendVersions(model, versions, now, &advertised);
   return advertised;
 }
 
-Hello Briefing::MakeHello(TimePoint now) const
+Hello BriefingSender::MakeHello(TimePoint now) const
 {
   Hello hello;
   hello.is_gateway = true;
   hello.clock = ClockOf(now);
   hello.settings = m_settings;
-  hello.weights = ToldAt(now);
+  hello.weights = AdvertisedVersionsAt(now);
   hello.demand = m_use.demand;
   hello.near_gateways = m_use.near_gateways;
   return hello;
 }
 
-Hello Briefing::WholeHello(TimePoint now) const
+Hello BriefingSender::FullHello(TimePoint now) const
 {
   Hello hello = MakeHello(now);
   if (!m_plan.model.empty())
@@ -121,32 +125,32 @@
   return hello;
 }
 
-void Briefing::AddBriefing(Hello* hello) const
+void BriefingSender::AddBriefing(Hello* hello) const
 {
   hello->plan = m_plan;
   hello->peers = m_sidecars;
   hello->stamp = m_stamp;
 }
 
-void Briefing::SetUse(TargetUse use)
+void BriefingSender::SetTargetUse(TargetUse use)
 {
   if (use.needs_other_halls && !m_use.needs_other_halls)
     m_other_halls_due = {};
   m_use = std::move(use);
 }
 
-bool Briefing::IsUsed(const Peer& sidecar) const
+bool BriefingSender::IsUsed(const Peer& sidecar) const
 {
   return m_use.sidecars.empty() || m_use.sidecars.contains(sidecar.address);
 }
 
-bool Briefing::WantsLoad(const Peer& sidecar) const
+bool BriefingSender::WantsLoad(const Peer& sidecar) const
 {
   return m_use.sidecars.contains(sidecar.address) &&
          (sidecar.hall == m_hall || m_use.needs_other_halls);
 }
 
-bool Briefing::NeedsBriefing(const Peer& sidecar, TimePoint now) const
+bool BriefingSender::NeedsBriefing(const Peer& sidecar, TimePoint now) const
 {
   if (sidecar.hall != m_hall || m_plan.model.empty())
     return false;
@@ -160,8 +164,8 @@
   return m_is_reader || state.reported_at >= m_non_reader_due;
 }
 
-void Briefing::SendHello(const Peer& sidecar, const Hello& hello, TimePoint now,
-                         std::vector<Outgoing>* outgoing)
+void BriefingSender::SendHello(const Peer& sidecar, const Hello& hello, TimePoint now,
+                               std::vector<Outgoing>* outgoing)
 {
   Hello sidecar_hello = hello;
   sidecar_hello.wants_load = WantsLoad(sidecar);
@@ -175,7 +179,7 @@
   outgoing->push_back({sidecar.address, std::move(sidecar_hello)});
 }
 
-void Briefing::SendToNewSidecars(TimePoint now, std::vector<Outgoing>* outgoing)
+void BriefingSender::SendToNewSidecars(TimePoint now, std::vector<Outgoing>* outgoing)
 {
   m_has_new_sidecars = false;
   const Hello hello = MakeHello(now);
@@ -186,8 +190,8 @@
   }
 }
 
-void Briefing::SendToUsedSidecars(bool is_local_hall, TimePoint now,
-                                  std::vector<Outgoing>* outgoing)
+void BriefingSender::SendToUsedSidecars(bool is_local_hall, TimePoint now,
+                                        std::vector<Outgoing>* outgoing)
 {
   const Hello hello = MakeHello(now);
   for (const Peer& sidecar : m_sidecars)
@@ -197,7 +201,7 @@
   }
 }
 
-void Briefing::OnTick(TimePoint now, std::vector<Outgoing>* outgoing)
+void BriefingSender::OnTick(TimePoint now, std::vector<Outgoing>* outgoing)
 {
   if (now >= m_local_hall_due)
   {
@@ -214,7 +218,7 @@
   }
 }
 
-TimePoint Briefing::NextWakeup() const
+TimePoint BriefingSender::NextWakeup() const
 {
   return m_has_new_sidecars ? TimePoint() : std::min(m_local_hall_due, m_other_halls_due);
 }
--- a/Source/Core/Mesh/Briefing.h
+++ b/Source/Core/Mesh/Briefing.h
@@ -43,11 +43,11 @@
 // Keeps hellos small: the briefing goes only to sidecars that are new or report an outdated stamp.
 // The gateway that reads the platform sends a changed briefing first; the other gateways leave it
 // time for that.
-class Briefing
+class BriefingSender
 {
 public:
   // `seed` is for the jitter of the time that a gateway leaves to the reader.
-  explicit Briefing(std::string hall, std::uint64_t seed = 0)
+  explicit BriefingSender(std::string hall, std::uint64_t seed = 0)
       : m_hall(std::move(hall)), m_random(seed)
   {
   }
@@ -60,17 +60,17 @@
                    Common::TimePoint now);
   void SetWeights(const Control::NamedWeights& named, const Control::KnownSince& since);
   // The hellos to other halls are sent immediately when targets there become needed.
-  void SetUse(TargetUse use);
+  void SetTargetUse(TargetUse use);
   // Whether this gateway reads the platform for its hall.
-  void SetReads(bool reads) { m_is_reader = reads; }
+  void SetIsReader(bool reads) { m_is_reader = reads; }
   // Records the stamp of the last briefing that a sidecar received, as the sidecar reports it.
   void OnReported(const Common::Address& sidecar, const BriefingStamp& stamp,
                   Common::TimePoint now);
 
   // The hello with the briefing, for a sidecar that has received nothing yet.
-  Hello WholeHello(Common::TimePoint now) const;
+  Hello FullHello(Common::TimePoint now) const;
   // The versions of weights that are sent in hellos, with their ages at `now`.
-  std::vector<ToldWeights> ToldAt(Common::TimePoint now) const;
+  std::vector<AdvertisedVersion> AdvertisedVersionsAt(Common::TimePoint now) const;
   void OnTick(Common::TimePoint now, std::vector<Outgoing>* outgoing);
   Common::TimePoint NextWakeup() const;
 
--- a/Source/Core/Mesh/GatewayMembership.cpp
+++ b/Source/Core/Mesh/GatewayMembership.cpp
@@ -6,21 +6,22 @@
 using Common::Address;
 using Common::TimePoint;
 
-bool GatewayMembership::OnNamed(const std::vector<Address>& gateways, TimePoint now)
+bool GatewayMembership::OnGatewaysListed(const std::vector<Address>& gateways, TimePoint now)
 {
   return m_others.OnListed(gateways, now);
 }
 
-Gateway::GatewayCounts GatewayMembership::OnCounted(std::size_t all, TimePoint now)
+Gateway::GatewayCounts GatewayMembership::OnGatewaysCounted(std::size_t all, TimePoint now)
 {
   m_hall_gateway_count = m_others.Others(now).size() + 1;
   return {m_count.OnReported(all, now), m_hall_gateway_count};
 }
 
-TellGateways GatewayMembership::OnAsked(const Sender& from, const AskGateways& ask, TimePoint now)
+GatewaysReply GatewayMembership::OnGatewaysRequest(const Sender& from, const GatewaysRequest& ask,
+                                                   TimePoint now)
 {
   const bool is_same_hall = from.hall == m_hall;
-  TellGateways answer{m_directory.GatewaysOf(from.hall, from.address, now)};
+  GatewaysReply answer{m_directory.GatewaysOf(from.hall, from.address, now)};
   if (is_same_hall)
     answer.gateways.push_back(m_self);
   if (ask.is_gateway)
--- a/Source/Core/Mesh/GatewayMembership.h
+++ b/Source/Core/Mesh/GatewayMembership.h
@@ -28,16 +28,17 @@
   void SetSeeds(std::vector<Common::Address> seeds) { m_search.SetSeeds(std::move(seeds)); }
   // Adds gateways of the local hall, as other processes list them or as they announce themselves.
   // Returns whether one of them was not known.
-  bool OnNamed(const std::vector<Common::Address>& gateways, Common::TimePoint now);
+  bool OnGatewaysListed(const std::vector<Common::Address>& gateways, Common::TimePoint now);
   // Applies a sidecar's count of the gateways of all halls; returns the counts that are in use.
-  Gateway::GatewayCounts OnCounted(std::size_t all, Common::TimePoint now);
+  Gateway::GatewayCounts OnGatewaysCounted(std::size_t all, Common::TimePoint now);
   // Answers a process that asks for the gateways of its hall.
-  TellGateways OnAsked(const Sender& from, const AskGateways& ask, Common::TimePoint now);
+  GatewaysReply OnGatewaysRequest(const Sender& from, const GatewaysRequest& ask,
+                                  Common::TimePoint now);
 
   // The other gateways of the local hall.
   std::vector<Common::Address> Others(Common::TimePoint now) { return m_others.Others(now); }
   // The number of gateways of the local hall, including this one, at the time of the last count.
-  std::size_t Near() const { return m_hall_gateway_count; }
+  std::size_t HallGatewayCount() const { return m_hall_gateway_count; }
   // The seeds to ask for other gateways now, as long as no reader's heartbeat is received.
   std::vector<Common::Address> SeedsToAsk(bool knows_reader, Common::TimePoint now)
   {
--- a/Source/Core/Mesh/MeshMessages.h
+++ b/Source/Core/Mesh/MeshMessages.h
@@ -30,18 +30,18 @@
 
 // The number of newest versions of a model that are sent to other processes. There are several,
 // because pushes of the previous versions may still be in progress.
-inline constexpr std::size_t VERSIONS_TOLD = 3;
+inline constexpr std::size_t MAX_ADVERTISED_VERSIONS = 3;
 
 // A named version of weights, and how long any process has known it.
-struct ToldWeights
+struct AdvertisedVersion
 {
   Control::NamedWeights named;
   Common::Milliseconds known{0};
   // Whether the age is assumed because no process that saw the naming itself has reported it.
   bool is_assumed = false;
 
-  static ToldWeights Of(const std::string& model, std::uint64_t version,
-                        const Control::KnownSince& since, Common::TimePoint now)
+  static AdvertisedVersion Of(const std::string& model, std::uint64_t version,
+                              const Control::KnownSince& since, Common::TimePoint now)
   {
     const auto known = std::chrono::duration_cast<Common::Milliseconds>(now - since.time);
     return {{model, version}, std::max(known, Common::Milliseconds(0)), since.is_assumed};
@@ -97,7 +97,7 @@
 {
   bool is_gateway = false;
   Settings::DocumentVersion settings = 0;
-  std::vector<ToldWeights> weights;
+  std::vector<AdvertisedVersion> weights;
   WeightsPlan plan; // has no model if the sender knows none or the receiver has the plan
   // The sidecars of the plan's service; empty if the plan is empty.
   std::vector<Peer> peers;
@@ -116,7 +116,7 @@
 };
 
 // The work that a gateway has at the receiver's target, sent whenever it changes.
-struct TellWork
+struct WorkUpdate
 {
   Gateway::OwnWork work;
 };
@@ -135,7 +135,7 @@
   Common::Address settings_at;
   // The newest versions named for the target's model, sent only for a limited time after the
   // naming.
-  std::vector<ToldWeights> weights;
+  std::vector<AdvertisedVersion> weights;
   // The gateways of the sidecar's hall, sent periodically to gateways of that hall.
   std::vector<Common::Address> near_gateways;
   // The clock from the receiver's last hello, and the time since that hello arrived; zero if none
@@ -149,31 +149,31 @@
   Distribution::Announcement announcement;
 };
 
-struct AskPiece
+struct PieceRequest
 {
   std::uint64_t id = 0; // chosen by the sender of the request
   Common::Digest version;
   std::uint32_t piece = 0;
 };
 
-struct CancelPiece
+struct PieceCancel
 {
   std::uint64_t id = 0;
 };
 
-struct TellPiece
+struct PieceReply
 {
   std::uint64_t id = 0;
   Common::Result<Common::Bytes> result;
 };
 
 // Requests a settings document that is newer than this version.
-struct AskDocument
+struct DocumentRequest
 {
   Settings::DocumentVersion newer_than = 0;
 };
 
-struct TellDocument
+struct DocumentUpdate
 {
   Settings::DocumentVersion version = 0;
   // The document's text as the platform wrote it, compressed relative to the text of version
@@ -182,18 +182,18 @@
   Common::Bytes packed;
   // The newest versions that the sender knows. The receiver needs them as soon as it has the
   // settings, because it selects targets by them.
-  std::vector<ToldWeights> weights = {};
+  std::vector<AdvertisedVersion> weights = {};
 };
 
 // Requests a target list that was read further than this position.
-struct AskTargets
+struct TargetsRequest
 {
   Control::Position newer_than = 0;
 };
 
-struct TellTargets
+struct TargetsUpdate
 {
-  Control::TargetsNews news;
+  Control::TargetListChanges news;
 };
 
 // Sent periodically by a gateway that reads the platform for its hall; reports how far it has read.
@@ -203,19 +203,19 @@
   // The position of the last change in the target list.
   Control::Position targets_changed = 0;
   Settings::DocumentVersion settings = 0;
-  std::vector<ToldWeights> weights;
+  std::vector<AdvertisedVersion> weights;
   // The time since the platform last answered this gateway.
   Common::Milliseconds answer_age{0};
 };
 
 // Asks a seed for the gateways of the sender's hall.
-struct AskGateways
+struct GatewaysRequest
 {
   // Whether the sender is a gateway, which the seed then lists for other processes.
   bool is_gateway = false;
 };
 
-struct TellGateways
+struct GatewaysReply
 {
   // The gateways of the receiver's hall.
   std::vector<Common::Address> gateways;
@@ -223,11 +223,12 @@
 
 // Sent by a sidecar that has received the plan and the peers from no gateway; requests a hello with
 // both.
-struct AskBriefing
+struct BriefingRequest
 {
 };
 
-using Message = std::variant<Hello, LoadReport, Announce, AskPiece, CancelPiece, TellPiece,
-                             AskDocument, TellDocument, AskTargets, TellTargets, ReaderBeat,
-                             TellWork, AskGateways, TellGateways, AskBriefing>;
+using Message =
+    std::variant<Hello, LoadReport, Announce, PieceRequest, PieceCancel, PieceReply,
+                 DocumentRequest, DocumentUpdate, TargetsRequest, TargetsUpdate, ReaderBeat,
+                 WorkUpdate, GatewaysRequest, GatewaysReply, BriefingRequest>;
 } // namespace Holdpost::Mesh
--- a/Source/Core/Sidecar/Sidecar.cpp
+++ b/Source/Core/Sidecar/Sidecar.cpp
@@ -172,14 +172,15 @@
   std::visit(
       Common::Overloaded{
           [&](const Mesh::Hello& hello) { OnHello(from, hello, now, actions); },
-          [&](const Mesh::TellWork& received)
+          [&](const Mesh::WorkUpdate& received)
           { OnWorkAnnounced(from, received.work, now, actions); },
-          [&](const Mesh::TellGateways& received) { RequestBriefings(received.gateways, actions); },
+          [&](const Mesh::GatewaysReply& received)
+          { RequestBriefings(received.gateways, actions); },
           [&](const Mesh::Announce& announce) {
             m_exchange.OnAnnouncement(from.address.ToString(), announce.announcement, now,
                                       &new_actions);
           },
-          [&](const Mesh::AskPiece& request)
+          [&](const Mesh::PieceRequest& request)
           {
             const std::uint64_t tag = m_next_tag++;
             m_piece_requests[tag] = {from.address, request.id};
@@ -189,7 +190,7 @@
             m_exchange.OnPieceRequest(tag, request.version, request.piece, is_for_other_hall, now,
                                       &new_actions);
           },
-          [&](const Mesh::CancelPiece& cancel)
+          [&](const Mesh::PieceCancel& cancel)
           {
             const auto found_request = std::ranges::find_if(
                 m_piece_requests, [&](const auto& entry)
@@ -200,11 +201,11 @@
             m_piece_requests.erase(found_request);
             m_exchange.OnRequestAbandoned(tag, now, &new_actions);
           },
-          [&](const Mesh::TellPiece& received)
+          [&](const Mesh::PieceReply& received)
           {
             // The cancellation also confirms that this sidecar has received the piece.
             if (const auto peer = m_peer_fetches.extract(received.id))
-              actions->push_back(Tell{peer.mapped(), Mesh::CancelPiece{received.id}, false});
+              actions->push_back(Tell{peer.mapped(), Mesh::PieceCancel{received.id}, false});
             m_exchange.OnFetched(received.id, received.result, now, &new_actions);
           },
           [](const auto&) {}},
@@ -268,14 +269,14 @@
               const auto address = Common::ParseAddress(fetch.peer);
               m_peer_fetches[fetch.id] = *address;
               actions->push_back(
-                  Tell{*address, Mesh::AskPiece{fetch.id, fetch.version, fetch.piece}, false});
+                  Tell{*address, Mesh::PieceRequest{fetch.id, fetch.version, fetch.piece}, false});
             },
             [&](Distribution::CancelFetch& cancel)
             {
               if (m_origin_fetches.erase(cancel.id) > 0)
                 actions->push_back(CancelOriginFetch{cancel.id});
               else if (const auto peer = m_peer_fetches.extract(cancel.id))
-                actions->push_back(Tell{peer.mapped(), Mesh::CancelPiece{cancel.id}, false});
+                actions->push_back(Tell{peer.mapped(), Mesh::PieceCancel{cancel.id}, false});
             },
             [&](Distribution::SendAnnouncement& send)
             {
@@ -289,9 +290,9 @@
               if (found_request == m_piece_requests.end())
                 return;
               const bool is_refused = !Common::Succeeded(answer.result);
-              actions->push_back(
-                  Tell{found_request->second.from,
-                       Mesh::TellPiece{found_request->second.id, std::move(answer.result)}, false});
+              actions->push_back(Tell{
+                  found_request->second.from,
+                  Mesh::PieceReply{found_request->second.id, std::move(answer.result)}, false});
               if (is_refused)
                 m_piece_requests.erase(found_request);
             },
--- a/Source/Core/Sidecar/SidecarGateways.cpp
+++ b/Source/Core/Sidecar/SidecarGateways.cpp
@@ -34,7 +34,7 @@
   gateway.last_seen = now;
   gateway.last_hello = now;
   OnBriefing(hello, now, actions);
-  for (const Mesh::ToldWeights& reported : hello.weights)
+  for (const Mesh::AdvertisedVersion& reported : hello.weights)
     OnWeights(reported.named, reported.Since(now));
   if (from.hall == m_options.hall && HasPlan())
     m_versions_reported_until = now;
@@ -75,7 +75,7 @@
 void Sidecar::SearchGateways(TimePoint now, Actions* actions)
 {
   for (const Address& seed : m_search.OnTick(HasPlan() && HasSeenGateway(SEARCH_TIMEOUT, now), now))
-    actions->push_back(Tell{seed, Mesh::AskGateways{false}, true});
+    actions->push_back(Tell{seed, Mesh::GatewaysRequest{false}, true});
 }
 
 void Sidecar::RequestBriefings(const std::vector<Address>& gateways, Actions* actions)
@@ -86,7 +86,7 @@
   for (std::size_t i = 0; i < std::min(gateways.size(), MAX_BRIEFING_REQUESTS); ++i)
   {
     const Address& gateway = gateways[(first + i) % gateways.size()];
-    actions->push_back(Tell{gateway, Mesh::AskBriefing{}, true});
+    actions->push_back(Tell{gateway, Mesh::BriefingRequest{}, true});
   }
 }
 } // namespace Holdpost::Sidecar
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -155,8 +155,10 @@
   report.stamp = m_stamp;
   for (auto named = m_named.rbegin(); named != m_named.rend(); ++named)
   {
-    const auto reported = Mesh::ToldWeights::Of(m_plan.model, named->first, named->second, now);
-    if (report.weights.size() == Mesh::VERSIONS_TOLD || reported.known > MAX_REPORTED_VERSION_AGE)
+    const auto reported =
+        Mesh::AdvertisedVersion::Of(m_plan.model, named->first, named->second, now);
+    if (report.weights.size() == Mesh::MAX_ADVERTISED_VERSIONS ||
+        reported.known > MAX_REPORTED_VERSION_AGE)
       break;
     report.weights.push_back(reported);
   }
--- a/Source/Node/GatewayControl.cpp
+++ b/Source/Node/GatewayControl.cpp
@@ -33,7 +33,7 @@
     : m_config(config), m_random(Common::StableHash(config.instance)), m_control(control),
       m_handlers(std::move(handlers)),
       m_follower(FollowerOptionsOf(config), Common::StableHash(config.instance)),
-      m_duty(Control::RankOf(config.mesh_listen), Common::StableHash(config.instance)),
+      m_duty(Control::ReaderRankOf(config.mesh_listen), Common::StableHash(config.instance)),
       m_seed_query(MeshAddressesOf(config.seeds, config.mesh_listen)),
       m_briefing(config.hall, Common::StableHash(config.instance)),
       m_membership(config.mesh_listen, config.hall,
@@ -51,7 +51,7 @@
   // Others turn to seeds, so these ask the platform themselves.
   if (!is_seed && !m_config.seeds.empty())
   {
-    m_duty.WaitToBeTold(EventLoop::Now());
+    m_duty.WaitForPeerState(EventLoop::Now());
     m_follower.SetReading(false);
   }
   return m_mesh.Listen(m_config.mesh_listen, {m_config.instance, m_config.hall, {}, 0});
@@ -73,11 +73,11 @@
 void GatewayControl::Tick(TimePoint now)
 {
   UpdateDuty(now);
-  m_briefing.SetReads(m_duty.Reads());
+  m_briefing.SetIsReader(m_duty.IsReader());
   FollowPlatform(now);
   SearchGateways(now);
   QuerySeeds(now);
-  if (m_duty.Reads() && now >= m_beat_due)
+  if (m_duty.IsReader() && now >= m_beat_due)
     Beat(now);
   UpdateTargetsInUse();
   std::vector<Mesh::Outgoing> outgoing;
@@ -92,20 +92,20 @@
   Mesh::TargetUse use;
   use.needs_other_halls = in_use.needs_other_halls;
   use.demand = in_use.demand;
-  use.near_gateways = static_cast<std::uint32_t>(m_membership.Near());
+  use.near_gateways = static_cast<std::uint32_t>(m_membership.HallGatewayCount());
   for (const Address& target : in_use.targets)
     use.sidecars.insert({target.host, m_mesh.Self().address.port});
-  m_briefing.SetUse(std::move(use));
+  m_briefing.SetTargetUse(std::move(use));
 }
 
-void GatewayControl::TellWork(const Address& target, const Gateway::OwnWork& work)
+void GatewayControl::SendWorkUpdate(const Address& target, const Gateway::OwnWork& work)
 {
-  m_mesh.SendDatagram({target.host, m_mesh.Self().address.port}, Mesh::TellWork{work});
+  m_mesh.SendDatagram({target.host, m_mesh.Self().address.port}, Mesh::WorkUpdate{work});
 }
 
 TimePoint GatewayControl::NextWakeup() const
 {
-  const TimePoint beat_due = m_duty.Reads() ? m_beat_due : TimePoint::max();
+  const TimePoint beat_due = m_duty.IsReader() ? m_beat_due : TimePoint::max();
   return std::min({m_follower.NextWakeup(), m_briefing.NextWakeup(), m_seed_query.NextWakeup(),
                    m_membership.NextWakeup(), m_duty.NextWakeup(), beat_due});
 }
@@ -114,19 +114,19 @@
 
 void GatewayControl::UpdateDuty(TimePoint now)
 {
-  m_duty.SetMembers(m_membership.Near());
+  m_duty.SetProcessCount(m_membership.HallGatewayCount());
   switch (m_duty.OnTick(m_follower.LastAnswer(), now))
   {
-  case Control::DutyChange::None:
+  case Control::ReadingChange::None:
     return;
-  case Control::DutyChange::Begins:
+  case Control::ReadingChange::Begins:
     LogEvent(Weight::Important, now, "reader.begins", "settings", m_follower.Version(),
              "targets_at", m_follower.TargetsPosition());
     m_follower.SetReading(true);
     // The others need not begin, too.
     Beat(now);
     return;
-  case Control::DutyChange::Ends:
+  case Control::ReadingChange::Ends:
     LogEvent(Weight::Important, now, "reader.ends", "reader", "others that ask in vain, too");
     m_follower.SetReading(false);
     return;
@@ -141,23 +141,23 @@
     std::visit([this](const auto& read) { Ask(read); }, action);
 }
 
-void GatewayControl::Ask(const Control::ReadOperator& read)
+void GatewayControl::Ask(const Control::ReadOperatorChanges& read)
 {
-  m_control.ReadOperator(read,
-                         [this](const Result<Control::OperatorRead>& result)
-                         {
-                           const TimePoint now = EventLoop::Now();
-                           const auto version = m_follower.Version();
-                           const bool is_news = m_follower.OnOperatorRead(result, now);
-                           if (m_follower.Version() > version)
-                             PassOnDocument(now);
-                           if (is_news)
-                           {
-                             ApplyOperator();
-                             Beat(now);
-                           }
-                           m_handlers.on_wakeup();
-                         });
+  m_control.ReadOperatorChanges(read,
+                                [this](const Result<Control::OperatorChanges>& result)
+                                {
+                                  const TimePoint now = EventLoop::Now();
+                                  const auto version = m_follower.Version();
+                                  const bool is_news = m_follower.OnOperatorRead(result, now);
+                                  if (m_follower.Version() > version)
+                                    PassOnDocument(now);
+                                  if (is_news)
+                                  {
+                                    ApplyOperator();
+                                    Beat(now);
+                                  }
+                                  m_handlers.on_wakeup();
+                                });
 }
 
 void GatewayControl::Ask(const Control::ReadTargets& read)
@@ -179,7 +179,7 @@
 
 void GatewayControl::QuerySeeds(TimePoint now)
 {
-  const bool is_told = m_follower.IsReachable() || !m_duty.Reads();
+  const bool is_told = m_follower.IsReachable() || !m_duty.IsReader();
   const auto peer = m_seed_query.OnTick(
       is_told, KnowsAll() ? Control::Knowledge::Whole : Control::Knowledge::Partial, now);
   if (peer)
@@ -218,7 +218,7 @@
   m_briefing.SetPlan(*plan, m_follower.Version(), now);
   const std::vector<Gateway::ListedTarget> targets = m_follower.Targets();
   m_briefing.SetSidecars(SidecarsOf(targets, plan->service, m_mesh.Self().address.port),
-                         m_follower.TargetsChanged(), now);
+                         m_follower.LastTargetsChange(), now);
   // Weights that some target has were named once, though the record may be gone.
   for (const Gateway::ListedTarget& target : targets)
   {
--- a/Source/Node/GatewayControl.h
+++ b/Source/Node/GatewayControl.h
@@ -57,18 +57,18 @@
   void Tick(Common::TimePoint now);
   Common::TimePoint NextWakeup() const;
   // Tells the sidecar beside the target what is open there.
-  void TellWork(const Common::Address& target, const Gateway::OwnWork& work);
+  void SendWorkUpdate(const Common::Address& target, const Gateway::OwnWork& work);
   // Drops connections to peers that carried nothing for a while.
   void CloseIdle(Common::TimePoint now) { m_mesh.CloseIdle(now); }
 
   bool IsPlatformReachable() const { return m_follower.IsReachable(); }
   bool HasTargets() const { return m_follower.HasTargets(); }
   // Whether this gateway reads the platform for its hall.
-  bool Reads() const { return m_duty.Reads(); }
+  bool IsReader() const { return m_duty.IsReader(); }
 
 private:
   void FollowPlatform(Common::TimePoint now);
-  void Ask(const Control::ReadOperator& read);
+  void Ask(const Control::ReadOperatorChanges& read);
   void Ask(const Control::ReadTargets& read);
   void UpdateDuty(Common::TimePoint now);
   // Asks a seed for what the platform does not tell.
@@ -94,29 +94,29 @@
   void OnMessage(const Mesh::Sender& from, Mesh::Message& message);
   void OnLoadReport(const Mesh::Sender& from, const Mesh::LoadReport& report);
   void OnGateways(const std::vector<Common::Address>& gateways);
-  void OnReaderBeat(const Mesh::Sender& from, const Mesh::ReaderBeat& beat);
-  void OnDocument(const Mesh::Sender& from, const Mesh::TellDocument& tell);
-  void OnTargets(const Mesh::Sender& from, const Mesh::TellTargets& tell);
+  void OnReaderHeartbeat(const Mesh::Sender& from, const Mesh::ReaderBeat& beat);
+  void OnDocument(const Mesh::Sender& from, const Mesh::DocumentUpdate& tell);
+  void OnTargets(const Mesh::Sender& from, const Mesh::TargetsUpdate& tell);
   void AnswerDocument(const Common::Address& to, Settings::DocumentVersion newer_than);
   void AnswerTargets(const Common::Address& to, Control::Position newer_than);
-  bool OfferWeights(const std::vector<Mesh::ToldWeights>& weights, Common::TimePoint now);
+  bool OfferWeights(const std::vector<Mesh::AdvertisedVersion>& weights, Common::TimePoint now);
   // The document in force, next to the text of the base if that was in force before it.
-  const Mesh::TellDocument& PackDocument(Settings::DocumentVersion base);
+  const Mesh::DocumentUpdate& PackDocument(Settings::DocumentVersion base);
   // The same with the versions of weights that are known now.
-  Mesh::TellDocument MakeTellDocument(Settings::DocumentVersion base, Common::TimePoint now);
+  Mesh::DocumentUpdate MakeTellDocument(Settings::DocumentVersion base, Common::TimePoint now);
 
   MeshConfig m_config;
   std::mt19937_64 m_random;
   ControlPeer::ControlPlane& m_control;
   Handlers m_handlers;
   Control::ControlFollower m_follower;
-  Control::ReaderDuty m_duty;
+  Control::ReaderElection m_duty;
   Control::PeerQuery m_seed_query;
-  Control::AnswerPacing m_document_pacing;
-  Control::AnswerPacing m_targets_pacing;
-  Mesh::TellDocument m_packed_whole;
-  Mesh::TellDocument m_packed_change;
-  Mesh::Briefing m_briefing;
+  Control::AnswerThrottle m_document_pacing;
+  Control::AnswerThrottle m_targets_pacing;
+  Mesh::DocumentUpdate m_packed_whole;
+  Mesh::DocumentUpdate m_packed_change;
+  Mesh::BriefingSender m_briefing;
   Mesh::GatewayMembership m_membership;
   MeshPeer::MeshEndpoint m_mesh;
   Common::TimePoint m_beat_due{};
--- a/Source/Node/GatewayExchanges.cpp
+++ b/Source/Node/GatewayExchanges.cpp
@@ -215,7 +215,7 @@
 
 void GatewayNode::Do(const Gateway::TellAgent& tell)
 {
-  m_control.TellWork(tell.target, tell.work);
+  m_control.SendWorkUpdate(tell.target, tell.work);
 }
 
 void GatewayNode::Carry(Gateway::Actions& actions)
--- a/Source/Node/GatewayNode.cpp
+++ b/Source/Node/GatewayNode.cpp
@@ -61,7 +61,7 @@
           {
             metrics.Set("holdpost_open_requests", static_cast<double>(m_core.OpenRequests()));
             metrics.Set("holdpost_settings_version", static_cast<double>(m_core.Version()));
-            metrics.Set("holdpost_reads_platform", m_control.Reads() ? 1 : 0);
+            metrics.Set("holdpost_reads_platform", m_control.IsReader() ? 1 : 0);
             metrics.Set("holdpost_targets_known", static_cast<double>(m_core.Targets().Size()));
             metrics.Set("holdpost_targets_reported",
                         static_cast<double>(m_core.Targets().Reported()));
@@ -95,7 +95,7 @@
                        {"hall", m_config.mesh.hall},
                        {"role", "gateway"},
                        {"settings", m_core.Version()},
-                       {"reads_platform", m_control.Reads()},
+                       {"reads_platform", m_control.IsReader()},
                        {"platform_answers", m_control.IsPlatformReachable()},
                        {"targets", m_core.Targets().Size()},
                        {"open_requests", m_core.OpenRequests()},
--- a/Source/Node/GatewayPeers.cpp
+++ b/Source/Node/GatewayPeers.cpp
@@ -28,7 +28,7 @@
 void GatewayControl::SearchGateways(TimePoint now)
 {
   for (const Address& seed : m_membership.SeedsToAsk(m_duty.IsFollowing(), now))
-    m_mesh.SendDatagram(seed, Mesh::AskGateways{true});
+    m_mesh.SendDatagram(seed, Mesh::GatewaysRequest{true});
 }
 
 // --- what is passed on to the hall ---
@@ -37,7 +37,7 @@
 {
   m_beat_due = now + BEAT_PERIOD;
   // Without an answer of its own it says that it asks in vain; after a start it just has none yet.
-  if (!m_duty.Reads() || !MayBeFollowed())
+  if (!m_duty.IsReader() || !MayBeFollowed())
     return;
   const Mesh::ReaderBeat beat = MakeBeat(now);
   for (const Address& gateway : m_membership.Others(now))
@@ -48,68 +48,68 @@
 {
   Mesh::ReaderBeat beat;
   beat.targets = m_follower.TargetsPosition();
-  beat.targets_changed = m_follower.TargetsChanged();
+  beat.targets_changed = m_follower.LastTargetsChange();
   beat.settings = m_follower.Version();
-  beat.weights = m_briefing.ToldAt(now);
+  beat.weights = m_briefing.AdvertisedVersionsAt(now);
   const auto answer_age = std::chrono::duration_cast<Milliseconds>(now - m_follower.LastAnswer());
   beat.answer_age = std::min(answer_age, ANSWER_AGE_TOLD_MOST);
   return beat;
 }
 
-const Mesh::TellDocument& GatewayControl::PackDocument(Settings::DocumentVersion base)
+const Mesh::DocumentUpdate& GatewayControl::PackDocument(Settings::DocumentVersion base)
 {
-  const bool has_base = base > 0 && base == m_follower.VersionBefore();
-  Mesh::TellDocument& told = has_base ? m_packed_change : m_packed_whole;
+  const bool has_base = base > 0 && base == m_follower.PreviousVersion();
+  Mesh::DocumentUpdate& told = has_base ? m_packed_change : m_packed_whole;
   // All gateways of a hall that has just started ask for the same.
   if (told.version == m_follower.Version())
     return told;
   const std::string& text = *m_follower.DocumentText();
   std::string packed =
-      has_base ? Common::Compress(text, *m_follower.TextBefore()) : Common::Compress(text);
+      has_base ? Common::Compress(text, *m_follower.PreviousText()) : Common::Compress(text);
   told = {m_follower.Version(), has_base ? base : 0, Common::MakeBytes(std::move(packed))};
   return told;
 }
 
-Mesh::TellDocument GatewayControl::MakeTellDocument(Settings::DocumentVersion base, TimePoint now)
+Mesh::DocumentUpdate GatewayControl::MakeTellDocument(Settings::DocumentVersion base, TimePoint now)
 {
-  Mesh::TellDocument tell = PackDocument(base);
-  tell.weights = m_briefing.ToldAt(now);
+  Mesh::DocumentUpdate tell = PackDocument(base);
+  tell.weights = m_briefing.AdvertisedVersionsAt(now);
   return tell;
 }
 
 void GatewayControl::PassOnDocument(TimePoint now)
 {
-  if (!m_duty.Reads())
+  if (!m_duty.IsReader())
     return;
   const std::vector<Address> gateways = m_membership.Others(now);
   if (gateways.empty())
     return;
-  const Mesh::TellDocument tell = MakeTellDocument(m_follower.VersionBefore(), now);
+  const Mesh::DocumentUpdate tell = MakeTellDocument(m_follower.PreviousVersion(), now);
   for (const Address& gateway : gateways)
     m_mesh.Send(gateway, tell);
 }
 
 void GatewayControl::PassOnTargets(TimePoint now)
 {
-  if (!m_duty.Reads())
+  if (!m_duty.IsReader())
     return;
   for (const Address& gateway : m_membership.Others(now))
-    m_mesh.Send(gateway, Mesh::TellTargets{m_follower.LastTargetsNews()});
+    m_mesh.Send(gateway, Mesh::TargetsUpdate{m_follower.LastTargetListChanges()});
 }
 
 void GatewayControl::AnswerDocument(const Address& to, Settings::DocumentVersion newer_than)
 {
   const TimePoint now = EventLoop::Now();
   const bool is_newer = m_follower.Document() && m_follower.Version() > newer_than;
-  if (is_newer && m_document_pacing.Take(to, m_follower.Version(), now))
+  if (is_newer && m_document_pacing.TryAcquire(to, m_follower.Version(), now))
     m_mesh.Send(to, MakeTellDocument(newer_than, now));
 }
 
 void GatewayControl::AnswerTargets(const Address& to, Control::Position newer_than)
 {
   const bool is_newer = m_follower.HasTargets() && m_follower.TargetsPosition() > newer_than;
-  if (is_newer && m_targets_pacing.Take(to, m_follower.TargetsPosition(), EventLoop::Now()))
-    m_mesh.Send(to, Mesh::TellTargets{m_follower.WholeTargets()});
+  if (is_newer && m_targets_pacing.TryAcquire(to, m_follower.TargetsPosition(), EventLoop::Now()))
+    m_mesh.Send(to, Mesh::TargetsUpdate{m_follower.FullTargetList()});
 }
 
 // --- what peers say ---
@@ -119,24 +119,27 @@
   std::visit(
       Common::Overloaded{
           [&](const Mesh::LoadReport& report) { OnLoadReport(from, report); },
-          [&](const Mesh::ReaderBeat& beat) { OnReaderBeat(from, beat); },
-          [&](const Mesh::AskDocument& ask) { AnswerDocument(from.address, ask.newer_than); },
-          [&](const Mesh::TellDocument& tell) { OnDocument(from, tell); },
-          [&](const Mesh::AskTargets& ask) { AnswerTargets(from.address, ask.newer_than); },
-          [&](const Mesh::TellTargets& tell) { OnTargets(from, tell); },
-          [&](const Mesh::AskGateways& ask)
-          { m_mesh.SendDatagram(from.address, m_membership.OnAsked(from, ask, EventLoop::Now())); },
-          [&](const Mesh::TellGateways& tell) { OnGateways(tell.gateways); },
-          [&](const Mesh::AskBriefing&)
-          { m_mesh.Send(from.address, m_briefing.WholeHello(EventLoop::Now())); },
+          [&](const Mesh::ReaderBeat& beat) { OnReaderHeartbeat(from, beat); },
+          [&](const Mesh::DocumentRequest& ask) { AnswerDocument(from.address, ask.newer_than); },
+          [&](const Mesh::DocumentUpdate& tell) { OnDocument(from, tell); },
+          [&](const Mesh::TargetsRequest& ask) { AnswerTargets(from.address, ask.newer_than); },
+          [&](const Mesh::TargetsUpdate& tell) { OnTargets(from, tell); },
+          [&](const Mesh::GatewaysRequest& ask) {
+            m_mesh.SendDatagram(from.address,
+                                m_membership.OnGatewaysRequest(from, ask, EventLoop::Now()));
+          },
+          [&](const Mesh::GatewaysReply& tell) { OnGateways(tell.gateways); },
+          [&](const Mesh::BriefingRequest&)
+          { m_mesh.Send(from.address, m_briefing.FullHello(EventLoop::Now())); },
           [](const auto&) {}},
       message);
 }
 
-bool GatewayControl::OfferWeights(const std::vector<Mesh::ToldWeights>& weights, TimePoint now)
+bool GatewayControl::OfferWeights(const std::vector<Mesh::AdvertisedVersion>& weights,
+                                  TimePoint now)
 {
   bool is_news = false;
-  for (const Mesh::ToldWeights& told : weights)
+  for (const Mesh::AdvertisedVersion& told : weights)
     is_news = m_follower.OfferWeights(told.named, told.Since(now)) || is_news;
   return is_news;
 }
@@ -144,11 +147,11 @@
 void GatewayControl::OnLoadReport(const Mesh::Sender& from, const Mesh::LoadReport& report)
 {
   const TimePoint now = EventLoop::Now();
-  m_membership.OnNamed(report.near_gateways, now);
+  m_membership.OnGatewaysListed(report.near_gateways, now);
   m_briefing.OnReported(from.address, report.stamp, now);
-  m_handlers.on_gateways(m_membership.OnCounted(report.gateways, now));
+  m_handlers.on_gateways(m_membership.OnGatewaysCounted(report.gateways, now));
   if (const auto ask = m_follower.OnPeerVersion(report.settings, now))
-    m_mesh.Send(report.settings_at, Mesh::AskDocument{*ask});
+    m_mesh.Send(report.settings_at, Mesh::DocumentRequest{*ask});
   if (OfferWeights(report.weights, now))
     ApplyOperator();
   Gateway::TargetLoad load = report.load;
@@ -159,10 +162,10 @@
 void GatewayControl::OnGateways(const std::vector<Address>& gateways)
 {
   const TimePoint now = EventLoop::Now();
-  if (m_membership.OnNamed(gateways, now))
+  if (m_membership.OnGatewaysListed(gateways, now))
     Beat(now);
   if (gateways.empty())
-    m_duty.OnAlone(now);
+    m_duty.OnNoPeers(now);
   else if (!KnowsAll())
     AskPeer(gateways[m_random() % gateways.size()]);
   m_handlers.on_wakeup();
@@ -182,42 +185,43 @@
 
 void GatewayControl::AskPeer(const Address& peer)
 {
-  m_mesh.Send(peer, Mesh::AskDocument{m_follower.Version()});
-  m_mesh.Send(peer, Mesh::AskTargets{m_follower.TargetsPosition()});
+  m_mesh.Send(peer, Mesh::DocumentRequest{m_follower.Version()});
+  m_mesh.Send(peer, Mesh::TargetsRequest{m_follower.TargetsPosition()});
 }
 
-void GatewayControl::OnReaderBeat(const Mesh::Sender& from, const Mesh::ReaderBeat& beat)
+void GatewayControl::OnReaderHeartbeat(const Mesh::Sender& from, const Mesh::ReaderBeat& beat)
 {
   if (from.hall != m_config.hall)
     return;
   const TimePoint now = EventLoop::Now();
-  const bool did_read = m_duty.Reads();
-  const bool is_new = m_membership.OnNamed({from.address}, now);
-  m_duty.OnReaderBeat(Control::RankOf(from.address), beat.answer_age, now);
+  const bool did_read = m_duty.IsReader();
+  const bool is_new = m_membership.OnGatewaysListed({from.address}, now);
+  m_duty.OnReaderHeartbeat(Control::ReaderRankOf(from.address), beat.answer_age, now);
   // A gateway that has just started reads until a beat of a reader comes.
-  if (is_new && m_duty.Reads() && MayBeFollowed())
+  if (is_new && m_duty.IsReader() && MayBeFollowed())
     m_mesh.SendDatagram(from.address, MakeBeat(now));
-  if (did_read && !m_duty.Reads())
+  if (did_read && !m_duty.IsReader())
   {
     LogEvent(Weight::Important, now, "reader.ends", "reader", from.instance);
     m_follower.SetReading(false);
   }
   if (OfferWeights(beat.weights, now))
     ApplyOperator();
-  m_follower.OnToldAll(now - beat.answer_age);
-  if (m_follower.MissesTargets(beat.targets, beat.targets_changed) && now >= m_ask_targets_due)
+  m_follower.OnAllVersionsAnnounced(now - beat.answer_age);
+  if (m_follower.OnPeerTargetsPosition(beat.targets, beat.targets_changed) &&
+      now >= m_ask_targets_due)
   {
     m_ask_targets_due = now + ASK_PAUSE;
-    m_mesh.Send(from.address, Mesh::AskTargets{m_follower.TargetsPosition()});
+    m_mesh.Send(from.address, Mesh::TargetsRequest{m_follower.TargetsPosition()});
   }
   if (beat.settings > m_follower.Version() && now >= m_ask_document_due)
   {
     m_ask_document_due = now + ASK_PAUSE;
-    m_mesh.Send(from.address, Mesh::AskDocument{m_follower.Version()});
+    m_mesh.Send(from.address, Mesh::DocumentRequest{m_follower.Version()});
   }
 }
 
-void GatewayControl::OnDocument(const Mesh::Sender& from, const Mesh::TellDocument& tell)
+void GatewayControl::OnDocument(const Mesh::Sender& from, const Mesh::DocumentUpdate& tell)
 {
   if (OfferWeights(tell.weights, EventLoop::Now()))
     ApplyOperator();
@@ -225,7 +229,7 @@
     return;
   if (tell.base > 0 && tell.base != m_follower.Version())
   {
-    m_mesh.Send(from.address, Mesh::AskDocument{m_follower.Version()});
+    m_mesh.Send(from.address, Mesh::DocumentRequest{m_follower.Version()});
     return;
   }
   const std::string base = tell.base > 0 ? *m_follower.DocumentText() : "";
@@ -247,7 +251,7 @@
     ApplyOperator();
 }
 
-void GatewayControl::OnTargets(const Mesh::Sender& from, const Mesh::TellTargets& tell)
+void GatewayControl::OnTargets(const Mesh::Sender& from, const Mesh::TargetsUpdate& tell)
 {
   if (!m_follower.OfferTargets(tell.news))
     return;
--- a/Source/Node/SidecarNode.cpp
+++ b/Source/Node/SidecarNode.cpp
@@ -222,19 +222,19 @@
   for (const auto& [version, since] : m_core->NamedVersions())
     m_follower.OfferWeights({m_core->Model(), version}, since);
   if (const auto& told = m_core->ToldVersionsUntil())
-    m_follower.OnToldAll(*told);
+    m_follower.OnAllVersionsAnnounced(*told);
   Control::Actions actions;
   m_follower.OnTick(now, &actions);
   for (const Control::Action& action : actions)
   {
-    if (const auto* read = std::get_if<Control::ReadOperator>(&action))
+    if (const auto* read = std::get_if<Control::ReadOperatorChanges>(&action))
     {
-      m_control.ReadOperator(*read,
-                             [this](const Result<Control::OperatorRead>& result)
-                             {
-                               if (m_follower.OnOperatorRead(result, EventLoop::Now()))
-                                 ApplyControl();
-                             });
+      m_control.ReadOperatorChanges(*read,
+                                    [this](const Result<Control::OperatorChanges>& result)
+                                    {
+                                      if (m_follower.OnOperatorRead(result, EventLoop::Now()))
+                                        ApplyControl();
+                                    });
     }
     if (const auto* read = std::get_if<Control::ReadTargets>(&action))
     {
--- a/Source/Peers/Control/ControlPlane.h
+++ b/Source/Peers/Control/ControlPlane.h
@@ -21,8 +21,9 @@
   // Later calls go there.
   virtual void SetAddress(const Common::Address& address) = 0;
 
-  virtual void ReadOperator(const Control::ReadOperator& read,
-                            std::function<void(Common::Result<Control::OperatorRead>)> done) = 0;
+  virtual void
+  ReadOperatorChanges(const Control::ReadOperatorChanges& read,
+                      std::function<void(Common::Result<Control::OperatorChanges>)> done) = 0;
   virtual void ReadTargets(const Control::ReadTargets& read,
                            std::function<void(Common::Result<Control::TargetsRead>)> done) = 0;
   // A document as the platform writes it, got from another process.
--- a/Source/Peers/Mesh/MeshCodec.cpp
+++ b/Source/Peers/Mesh/MeshCodec.cpp
@@ -45,18 +45,19 @@
   case MeshWire::Message::ANNOUNCEMENT:
     return Read(in.getAnnouncement());
   case MeshWire::Message::PIECE_REQUEST:
-    return Mesh::AskPiece{in.getPieceRequest().getId(), ToDigest(in.getPieceRequest().getVersion()),
-                          in.getPieceRequest().getPiece()};
+    return Mesh::PieceRequest{in.getPieceRequest().getId(),
+                              ToDigest(in.getPieceRequest().getVersion()),
+                              in.getPieceRequest().getPiece()};
   case MeshWire::Message::PIECE_CANCEL:
-    return Mesh::CancelPiece{in.getPieceCancel()};
+    return Mesh::PieceCancel{in.getPieceCancel()};
   case MeshWire::Message::PIECE_ANSWER:
     return Read(in.getPieceAnswer());
   case MeshWire::Message::DOCUMENT_REQUEST:
-    return Mesh::AskDocument{in.getDocumentRequest()};
+    return Mesh::DocumentRequest{in.getDocumentRequest()};
   case MeshWire::Message::DOCUMENT_ANSWER:
     return Read(in.getDocumentAnswer());
   case MeshWire::Message::TARGETS_REQUEST:
-    return Mesh::AskTargets{in.getTargetsRequest()};
+    return Mesh::TargetsRequest{in.getTargetsRequest()};
   case MeshWire::Message::TARGETS_ANSWER:
     return Read(in.getTargetsAnswer());
   case MeshWire::Message::READER_BEAT:
@@ -64,11 +65,11 @@
   case MeshWire::Message::WORK:
     return Read(in.getWork());
   case MeshWire::Message::GATEWAYS_REQUEST:
-    return Mesh::AskGateways{in.getGatewaysRequest()};
+    return Mesh::GatewaysRequest{in.getGatewaysRequest()};
   case MeshWire::Message::GATEWAYS_ANSWER:
-    return Mesh::TellGateways{Read(in.getGatewaysAnswer())};
+    return Mesh::GatewaysReply{Read(in.getGatewaysAnswer())};
   case MeshWire::Message::BRIEFING_REQUEST:
-    return Mesh::AskBriefing{};
+    return Mesh::BriefingRequest{};
   }
   return std::nullopt;
 }
--- a/Source/Peers/Mesh/MeshControlCodec.cpp
+++ b/Source/Peers/Mesh/MeshControlCodec.cpp
@@ -7,12 +7,12 @@
 {
 // --- documents ---
 
-void Write(const Mesh::AskDocument& ask, MeshWire::Message::Builder message)
+void Write(const Mesh::DocumentRequest& ask, MeshWire::Message::Builder message)
 {
   message.setDocumentRequest(ask.newer_than);
 }
 
-void Write(const Mesh::TellDocument& tell, MeshWire::Message::Builder message)
+void Write(const Mesh::DocumentUpdate& tell, MeshWire::Message::Builder message)
 {
   auto out = message.initDocumentAnswer();
   out.setVersion(tell.version);
@@ -25,13 +25,13 @@
 
 Mesh::Message Read(MeshWire::DocumentAnswer::Reader in)
 {
-  return Mesh::TellDocument{in.getVersion(), in.getBase(),
-                            Common::MakeBytes(ToBytes(in.getPacked())), Read(in.getWeights())};
+  return Mesh::DocumentUpdate{in.getVersion(), in.getBase(),
+                              Common::MakeBytes(ToBytes(in.getPacked())), Read(in.getWeights())};
 }
 
 // --- targets ---
 
-void Write(const Mesh::AskTargets& ask, MeshWire::Message::Builder message)
+void Write(const Mesh::TargetsRequest& ask, MeshWire::Message::Builder message)
 {
   message.setTargetsRequest(ask.newer_than);
 }
@@ -57,7 +57,7 @@
   out.setIsGone(true);
 }
 
-void Write(const Mesh::TellTargets& tell, MeshWire::Message::Builder message)
+void Write(const Mesh::TargetsUpdate& tell, MeshWire::Message::Builder message)
 {
   auto out = message.initTargetsAnswer();
   out.setPosition(tell.news.position);
@@ -85,7 +85,7 @@
 
 Mesh::Message Read(MeshWire::TargetsAnswer::Reader in)
 {
-  Control::TargetsNews news{in.getBase(), in.getPosition(), {}};
+  Control::TargetListChanges news{in.getBase(), in.getPosition(), {}};
   news.changes.reserve(in.getTargets().size());
   for (const auto target : in.getTargets())
   {
@@ -94,22 +94,22 @@
     else
       news.changes.push_back({ToText(target.getId()), Read(target)});
   }
-  return Mesh::TellTargets{std::move(news)};
+  return Mesh::TargetsUpdate{std::move(news)};
 }
 
 // --- gateways ---
 
-void Write(const Mesh::AskGateways& ask, MeshWire::Message::Builder message)
+void Write(const Mesh::GatewaysRequest& ask, MeshWire::Message::Builder message)
 {
   message.setGatewaysRequest(ask.is_gateway);
 }
 
-void Write(const Mesh::TellGateways& tell, MeshWire::Message::Builder message)
+void Write(const Mesh::GatewaysReply& tell, MeshWire::Message::Builder message)
 {
   Write(tell.gateways, message.initGatewaysAnswer(static_cast<unsigned>(tell.gateways.size())));
 }
 
-void Write(const Mesh::AskBriefing& /*ask*/, MeshWire::Message::Builder message)
+void Write(const Mesh::BriefingRequest& /*ask*/, MeshWire::Message::Builder message)
 {
   message.setBriefingRequest();
 }
--- a/Source/Peers/Mesh/MeshLoadCodec.cpp
+++ b/Source/Peers/Mesh/MeshLoadCodec.cpp
@@ -59,7 +59,7 @@
   return peers;
 }
 
-void Write(const std::vector<Mesh::ToldWeights>& weights,
+void Write(const std::vector<Mesh::AdvertisedVersion>& weights,
            capnp::List<MeshWire::Weights>::Builder out)
 {
   for (unsigned i = 0; i < weights.size(); ++i)
@@ -71,9 +71,9 @@
   }
 }
 
-std::vector<Mesh::ToldWeights> Read(capnp::List<MeshWire::Weights>::Reader in)
+std::vector<Mesh::AdvertisedVersion> Read(capnp::List<MeshWire::Weights>::Reader in)
 {
-  std::vector<Mesh::ToldWeights> weights;
+  std::vector<Mesh::AdvertisedVersion> weights;
   weights.reserve(in.size());
   for (const auto told : in)
   {
@@ -203,7 +203,7 @@
   return report;
 }
 
-void Write(const Mesh::TellWork& tell, MeshWire::Message::Builder message)
+void Write(const Mesh::WorkUpdate& tell, MeshWire::Message::Builder message)
 {
   auto out = message.initWork();
   out.setRequests(static_cast<std::uint16_t>(tell.work.requests));
@@ -212,6 +212,6 @@
 
 Mesh::Message Read(MeshWire::Work::Reader in)
 {
-  return Mesh::TellWork{{in.getRequests(), in.getUnreadTokens()}};
+  return Mesh::WorkUpdate{{in.getRequests(), in.getUnreadTokens()}};
 }
 } // namespace Holdpost::MeshPeer
--- a/Source/Peers/Mesh/MeshWeightsCodec.cpp
+++ b/Source/Peers/Mesh/MeshWeightsCodec.cpp
@@ -43,7 +43,7 @@
   return Mesh::Announce{std::move(announcement)};
 }
 
-void Write(const Mesh::AskPiece& ask, MeshWire::Message::Builder message)
+void Write(const Mesh::PieceRequest& ask, MeshWire::Message::Builder message)
 {
   auto out = message.initPieceRequest();
   out.setId(ask.id);
@@ -51,12 +51,12 @@
   out.setPiece(ask.piece);
 }
 
-void Write(const Mesh::CancelPiece& cancel, MeshWire::Message::Builder message)
+void Write(const Mesh::PieceCancel& cancel, MeshWire::Message::Builder message)
 {
   message.setPieceCancel(cancel.id);
 }
 
-void Write(const Mesh::TellPiece& tell, MeshWire::Message::Builder message)
+void Write(const Mesh::PieceReply& tell, MeshWire::Message::Builder message)
 {
   auto out = message.initPieceAnswer();
   out.setId(tell.id);
@@ -72,10 +72,10 @@
 Mesh::Message Read(MeshWire::PieceAnswer::Reader in)
 {
   if (in.getFailure().size() == 0)
-    return Mesh::TellPiece{in.getId(), Common::MakeBytes(ToBytes(in.getData()))};
+    return Mesh::PieceReply{in.getId(), Common::MakeBytes(ToBytes(in.getData()))};
   Common::Error error{Common::ErrorKindFromName(ToText(in.getFailure())), "the peer refused"};
   if (in.getRetryAfterMs() > 0)
     error.retry_after = Milliseconds(in.getRetryAfterMs());
-  return Mesh::TellPiece{in.getId(), std::move(error)};
+  return Mesh::PieceReply{in.getId(), std::move(error)};
 }
 } // namespace Holdpost::MeshPeer
--- a/Source/Peers/Mesh/MeshWireParts.h
+++ b/Source/Peers/Mesh/MeshWireParts.h
@@ -85,29 +85,29 @@
   return static_cast<std::uint8_t>(std::clamp(std::round(share * PERCENT), 0.0, PERCENT));
 }
 
-void Write(const std::vector<Mesh::ToldWeights>& weights,
+void Write(const std::vector<Mesh::AdvertisedVersion>& weights,
            capnp::List<MeshWire::Weights>::Builder out);
-std::vector<Mesh::ToldWeights> Read(capnp::List<MeshWire::Weights>::Reader in);
+std::vector<Mesh::AdvertisedVersion> Read(capnp::List<MeshWire::Weights>::Reader in);
 void Write(const Mesh::Hello& hello, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::Hello::Reader in);
 void Write(const Mesh::LoadReport& report, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::Load::Reader in);
-void Write(const Mesh::TellWork& tell, MeshWire::Message::Builder message);
+void Write(const Mesh::WorkUpdate& tell, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::Work::Reader in);
 void Write(const Mesh::Announce& announce, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::Announcement::Reader in);
-void Write(const Mesh::AskPiece& ask, MeshWire::Message::Builder message);
-void Write(const Mesh::CancelPiece& cancel, MeshWire::Message::Builder message);
-void Write(const Mesh::TellPiece& tell, MeshWire::Message::Builder message);
+void Write(const Mesh::PieceRequest& ask, MeshWire::Message::Builder message);
+void Write(const Mesh::PieceCancel& cancel, MeshWire::Message::Builder message);
+void Write(const Mesh::PieceReply& tell, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::PieceAnswer::Reader in);
-void Write(const Mesh::AskDocument& ask, MeshWire::Message::Builder message);
-void Write(const Mesh::TellDocument& tell, MeshWire::Message::Builder message);
+void Write(const Mesh::DocumentRequest& ask, MeshWire::Message::Builder message);
+void Write(const Mesh::DocumentUpdate& tell, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::DocumentAnswer::Reader in);
-void Write(const Mesh::AskTargets& ask, MeshWire::Message::Builder message);
-void Write(const Mesh::AskGateways& ask, MeshWire::Message::Builder message);
-void Write(const Mesh::TellGateways& tell, MeshWire::Message::Builder message);
-void Write(const Mesh::AskBriefing& ask, MeshWire::Message::Builder message);
-void Write(const Mesh::TellTargets& tell, MeshWire::Message::Builder message);
+void Write(const Mesh::TargetsRequest& ask, MeshWire::Message::Builder message);
+void Write(const Mesh::GatewaysRequest& ask, MeshWire::Message::Builder message);
+void Write(const Mesh::GatewaysReply& tell, MeshWire::Message::Builder message);
+void Write(const Mesh::BriefingRequest& ask, MeshWire::Message::Builder message);
+void Write(const Mesh::TargetsUpdate& tell, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::TargetsAnswer::Reader in);
 void Write(const Mesh::ReaderBeat& beat, MeshWire::Message::Builder message);
 Mesh::Message Read(MeshWire::ReaderBeat::Reader in);
--- a/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
+++ b/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
@@ -30,16 +30,16 @@
 {
   Fixture f;
   f.Tick();
-  CHECK(Testing::Only<ReadOperator>(f.actions).at(0).from == 0);
+  CHECK(Testing::Only<ReadOperatorChanges>(f.actions).at(0).from == 0);
   CHECK(Take<ReadTargets>(f.actions).at(0).from == 0);
   CHECK(f.follower.OnOperatorRead(MakeRead(4, 9), f.now));
   f.Tick();
-  const auto reads = Take<ReadOperator>(f.actions);
+  const auto reads = Take<ReadOperatorChanges>(f.actions);
   REQUIRE(reads.size() == 1);
   CHECK(reads[0].from == 9);
   CHECK(reads[0].wait == Milliseconds(2500));
   f.Tick(Milliseconds(5000));
-  CHECK(Take<ReadOperator>(f.actions).empty());
+  CHECK(Take<ReadOperatorChanges>(f.actions).empty());
 }
 
 TEST_CASE("A platform without a document yet is asked again after a pause")
@@ -47,20 +47,20 @@
   Fixture f;
   f.Tick();
   f.actions.clear();
-  CHECK_FALSE(f.follower.OnOperatorRead(OperatorRead{nullptr, nullptr, {}, 3}, f.now));
+  CHECK_FALSE(f.follower.OnOperatorRead(OperatorChanges{nullptr, nullptr, {}, 3}, f.now));
   f.Tick();
-  CHECK(Take<ReadOperator>(f.actions).empty());
+  CHECK(Take<ReadOperatorChanges>(f.actions).empty());
   f.Tick(Milliseconds(200));
-  CHECK(Take<ReadOperator>(f.actions).size() == 1);
+  CHECK(Take<ReadOperatorChanges>(f.actions).size() == 1);
 
   SUBCASE("with growing pauses of up to one second")
   {
     std::size_t reads = 0;
     for (int step = 0; step < 500; ++step)
     {
-      CHECK_FALSE(f.follower.OnOperatorRead(OperatorRead{nullptr, nullptr, {}, 3}, f.now));
+      CHECK_FALSE(f.follower.OnOperatorRead(OperatorChanges{nullptr, nullptr, {}, 3}, f.now));
       f.Tick(Milliseconds(10));
-      reads += Take<ReadOperator>(f.actions).size();
+      reads += Take<ReadOperatorChanges>(f.actions).size();
     }
     CHECK(reads <= 12);
   }
@@ -103,7 +103,7 @@
   reader.Tick();
   CHECK(reader.follower.OnTargetsRead(
       TargetsRead{true, {{"a", MakeTarget("a")}, {"b", MakeTarget("b")}}, 5}, reader.now));
-  CHECK(other.follower.OfferTargets(reader.follower.WholeTargets()));
+  CHECK(other.follower.OfferTargets(reader.follower.FullTargetList()));
   CHECK(other.follower.Targets() == reader.follower.Targets());
 
   // Records that only confirm that a target is present are not changes, and nothing is missing
@@ -113,23 +113,23 @@
   CHECK(reader.follower.OnTargetsRead(
       TargetsRead{false, {{"a", MakeTarget("a")}, {"b", std::nullopt}, {"c", MakeTarget("c")}}, 12},
       reader.now));
-  const TargetsNews update = reader.follower.LastTargetsNews();
+  const TargetListChanges update = reader.follower.LastTargetListChanges();
   CHECK(update.changes.size() == 2);
 
   SUBCASE("the changes arrive")
   {
     CHECK(other.follower.OfferTargets(update));
     CHECK(other.follower.Targets() == reader.follower.Targets());
-    CHECK_FALSE(other.follower.MissesTargets(14, reader.follower.TargetsChanged()));
+    CHECK_FALSE(other.follower.OnPeerTargetsPosition(14, reader.follower.LastTargetsChange()));
     CHECK(other.follower.TargetsPosition() == 14);
   }
   SUBCASE("the changes are lost, which the reader's next heartbeat shows")
   {
-    CHECK(other.follower.MissesTargets(14, reader.follower.TargetsChanged()));
+    CHECK(other.follower.OnPeerTargetsPosition(14, reader.follower.LastTargetsChange()));
     CHECK(reader.follower.OnTargetsRead(TargetsRead{false, {{"d", MakeTarget("d")}}, 15},
                                         reader.now));
-    CHECK_FALSE(other.follower.OfferTargets(reader.follower.LastTargetsNews()));
-    CHECK(other.follower.OfferTargets(reader.follower.WholeTargets()));
+    CHECK_FALSE(other.follower.OfferTargets(reader.follower.LastTargetListChanges()));
+    CHECK(other.follower.OfferTargets(reader.follower.FullTargetList()));
     CHECK(other.follower.Targets() == reader.follower.Targets());
   }
   SUBCASE("a local read that started earlier returns an older list, which is ignored")
@@ -147,11 +147,11 @@
   f.Tick();
   ControlFollower other{{}, 2};
   CHECK(f.follower.OnTargetsRead(TargetsRead{true, {{"a", MakeTarget("a")}}, 5}, f.now));
-  REQUIRE(other.OfferTargets(f.follower.WholeTargets()));
+  REQUIRE(other.OfferTargets(f.follower.FullTargetList()));
   const auto read = [&](const TargetsRead& targets)
   {
     if (f.follower.OnTargetsRead(targets, f.now))
-      CHECK(other.OfferTargets(f.follower.LastTargetsNews()));
+      CHECK(other.OfferTargets(f.follower.LastTargetListChanges()));
     CHECK(other.Targets() == f.follower.Targets());
   };
   SUBCASE("a target is added and removed within one read")
@@ -206,7 +206,7 @@
   CHECK(f.follower.NextWakeup() == Common::TimePoint::max());
   f.follower.SetReading(true);
   f.Tick();
-  CHECK(Testing::Only<ReadOperator>(f.actions).at(0).from == 0);
+  CHECK(Testing::Only<ReadOperatorChanges>(f.actions).at(0).from == 0);
   // The list is read in full, too: the previous reader may have kept targets whose records had
   // lapsed.
   CHECK(Testing::Only<ReadTargets>(f.actions).at(0).from == 0);
@@ -219,7 +219,7 @@
   f.follower.OnTargetsRead(TargetsRead{true, {{"a", MakeTarget("a")}, {"b", MakeTarget("b")}}, 5},
                            f.now);
   ControlFollower next{{}, 2};
-  REQUIRE(next.OfferTargets(f.follower.WholeTargets()));
+  REQUIRE(next.OfferTargets(f.follower.FullTargetList()));
   next.SetReading(false);
   // Both records have lapsed after an outage; the target "a" does not come back.
   f.follower.OnTargetsRead(Error{ErrorKind::PlatformUnavailable, "down"}, f.now);
@@ -227,7 +227,7 @@
   f.follower.OnTargetsRead(TargetsRead{false, {{"a", std::nullopt}, {"b", std::nullopt}}, 7},
                            f.now);
   REQUIRE(f.follower.Targets().size() == 2);
-  next.MissesTargets(f.follower.TargetsPosition(), f.follower.TargetsChanged());
+  next.OnPeerTargetsPosition(f.follower.TargetsPosition(), f.follower.LastTargetsChange());
   next.SetReading(true);
   Actions actions;
   next.OnTick(f.now, &actions);
@@ -263,7 +263,7 @@
   f.actions.clear();
   f.follower.OnOperatorRead(Error{ErrorKind::PositionGone, "gone"}, f.now);
   f.Tick(Milliseconds(200));
-  CHECK(Take<ReadOperator>(f.actions).at(0).from == 0);
+  CHECK(Take<ReadOperatorChanges>(f.actions).at(0).from == 0);
   CHECK(f.follower.Version() == 1);
 }
 
@@ -274,7 +274,7 @@
   for (int i = 0; i < 100; ++i)
   {
     f.Tick(Milliseconds(50));
-    if (!Testing::Only<ReadOperator>(f.actions).empty())
+    if (!Testing::Only<ReadOperatorChanges>(f.actions).empty())
     {
       ++asked;
       f.follower.OnOperatorRead(Error{ErrorKind::PlatformUnavailable, "503"}, f.now);
--- a/Source/UnitTests/Core/Control/FollowerFixture.h
+++ b/Source/UnitTests/Core/Control/FollowerFixture.h
@@ -10,7 +10,7 @@
 {
 inline constexpr Common::TimePoint FOLLOWER_START{std::chrono::hours(1)};
 
-inline Control::OperatorRead MakeRead(Settings::DocumentVersion version, Control::Position next)
+inline Control::OperatorChanges MakeRead(Settings::DocumentVersion version, Control::Position next)
 {
   auto document = std::make_shared<Settings::Document>();
   document->version = version;
--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
@@ -19,9 +19,9 @@
 constexpr ReaderRank HIGHER_RANK = 9;
 
 // Whether a process that received its last answer before the test starts to read.
-bool StartsReading(ReaderDuty& election, Common::TimePoint now)
+bool StartsReading(ReaderElection& election, Common::TimePoint now)
 {
-  return election.OnTick(START - std::chrono::minutes(1), now) == DutyChange::Begins;
+  return election.OnTick(START - std::chrono::minutes(1), now) == ReadingChange::Begins;
 }
 
 // The processes of a hall and a platform that answers all, some or none of them. Each reader sends
@@ -33,7 +33,7 @@
 
   struct Process
   {
-    ReaderDuty election;
+    ReaderElection election;
     Common::TimePoint answered = START;
     Common::TimePoint heartbeat_due{};
     bool may_be_answered = true;
@@ -44,8 +44,8 @@
   {
     for (std::size_t i = 0; i < count; ++i)
     {
-      processes.push_back({ReaderDuty(i + 1, i + 1)});
-      processes.back().election.SetMembers(count);
+      processes.push_back({ReaderElection(i + 1, i + 1)});
+      processes.back().election.SetProcessCount(count);
     }
   }
   void SendHeartbeat(std::size_t from)
@@ -54,7 +54,7 @@
     for (std::size_t i = 0; i < processes.size(); ++i)
     {
       if (i != from)
-        processes[i].election.OnReaderBeat(from + 1, now - processes[from].answered, now);
+        processes[i].election.OnReaderHeartbeat(from + 1, now - processes[from].answered, now);
     }
   }
   void RunFor(Milliseconds time)
@@ -64,12 +64,12 @@
       for (std::size_t i = 0; i < processes.size(); ++i)
       {
         Process& process = processes[i];
-        if (process.election.OnTick(process.answered, now) == DutyChange::Begins)
+        if (process.election.OnTick(process.answered, now) == ReadingChange::Begins)
         {
           ++process.takeovers;
           process.heartbeat_due = now;
         }
-        if (!process.election.Reads())
+        if (!process.election.IsReader())
           continue;
         reading_time += STEP;
         if (is_platform_up && process.may_be_answered)
@@ -82,7 +82,7 @@
   std::size_t ReaderCount() const
   {
     return static_cast<std::size_t>(std::ranges::count_if(processes, [](const Process& process)
-                                                          { return process.election.Reads(); }));
+                                                          { return process.election.IsReader(); }));
   }
 
   std::vector<Process> processes;
@@ -95,48 +95,48 @@
 
 TEST_CASE("A process reads until it receives the heartbeat of a reader with a lower rank")
 {
-  ReaderDuty election(LOCAL_RANK, 1);
-  CHECK(election.Reads());
-  election.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START);
-  CHECK(election.Reads());
-  election.OnReaderBeat(LOWER_RANK, Milliseconds(10), START);
-  CHECK_FALSE(election.Reads());
+  ReaderElection election(LOCAL_RANK, 1);
+  CHECK(election.IsReader());
+  election.OnReaderHeartbeat(HIGHER_RANK, Milliseconds(10), START);
+  CHECK(election.IsReader());
+  election.OnReaderHeartbeat(LOWER_RANK, Milliseconds(10), START);
+  CHECK_FALSE(election.IsReader());
 
   SUBCASE("and then follows a reader of any rank, so that the role does not move without need")
   {
-    election.OnReaderBeat(HIGHER_RANK, Milliseconds(10), START + Milliseconds(900));
+    election.OnReaderHeartbeat(HIGHER_RANK, Milliseconds(10), START + Milliseconds(900));
     CHECK_FALSE(StartsReading(election, START + Milliseconds(1500)));
-    CHECK_FALSE(election.Reads());
+    CHECK_FALSE(election.IsReader());
   }
   SUBCASE("and takes over when the reader's heartbeats stop")
   {
     CHECK_FALSE(StartsReading(election, START + Milliseconds(900)));
     CHECK(election.NextWakeup() <= START + Milliseconds(1200));
     CHECK(StartsReading(election, START + Milliseconds(1200)));
-    CHECK(election.Reads());
+    CHECK(election.IsReader());
     CHECK_FALSE(StartsReading(election, START + Milliseconds(1300)));
   }
   SUBCASE("and takes over when the reader has lost the platform but still sends heartbeats")
   {
-    election.OnReaderBeat(LOWER_RANK, Milliseconds(600), START + Milliseconds(590));
-    election.OnReaderBeat(LOWER_RANK, Milliseconds(1100), START + Milliseconds(1090));
+    election.OnReaderHeartbeat(LOWER_RANK, Milliseconds(600), START + Milliseconds(590));
+    election.OnReaderHeartbeat(LOWER_RANK, Milliseconds(1100), START + Milliseconds(1090));
     CHECK(StartsReading(election, START + Milliseconds(1200)));
   }
 }
 
 TEST_CASE("A reader that has lost the platform does not keep other processes from reading")
 {
-  ReaderDuty election(LOCAL_RANK, 1);
-  election.OnReaderBeat(LOWER_RANK, Milliseconds(3000), START);
-  CHECK(election.Reads());
+  ReaderElection election(LOCAL_RANK, 1);
+  election.OnReaderHeartbeat(LOWER_RANK, Milliseconds(3000), START);
+  CHECK(election.IsReader());
 }
 
 TEST_CASE("Waiting processes do not all start to read at the same moment")
 {
-  ReaderDuty first(LOCAL_RANK, 1);
-  ReaderDuty second(LOCAL_RANK + 1, 2);
-  first.OnReaderBeat(LOWER_RANK, Milliseconds(0), START);
-  second.OnReaderBeat(LOWER_RANK, Milliseconds(0), START);
+  ReaderElection first(LOCAL_RANK, 1);
+  ReaderElection second(LOCAL_RANK + 1, 2);
+  first.OnReaderHeartbeat(LOWER_RANK, Milliseconds(0), START);
+  second.OnReaderHeartbeat(LOWER_RANK, Milliseconds(0), START);
   CHECK(first.NextWakeup() != second.NextWakeup());
 }
 
@@ -150,15 +150,15 @@
     INFO("drain within " << drain_within.count() << " ms");
     const Milliseconds period = ListPeriod(drain_within);
     CHECK(period <= drain_within * 3 / 10);
-    ReaderDuty election(LOCAL_RANK, 1);
+    ReaderElection election(LOCAL_RANK, 1);
     Common::TimePoint answered = START;
     // The heartbeat after each answer is lost; the next heartbeat reports the age of the answer.
     for (int i = 0; i < 50; ++i)
     {
       for (Common::TimePoint now = answered + HEARTBEAT_PERIOD; now < answered + period + CALL_TIME;
            now += HEARTBEAT_PERIOD)
-        election.OnReaderBeat(LOWER_RANK, std::chrono::duration_cast<Milliseconds>(now - answered),
-                              now);
+        election.OnReaderHeartbeat(LOWER_RANK,
+                                   std::chrono::duration_cast<Milliseconds>(now - answered), now);
       answered += period + CALL_TIME;
       CHECK_FALSE(StartsReading(election, answered + HEARTBEAT_PERIOD - Milliseconds(1)));
     }
@@ -179,7 +179,7 @@
     hall.RunFor(std::chrono::minutes(3));
     CHECK(hall.reading_time / std::chrono::minutes(3) < 8);
     for (const Hall::Process& process : hall.processes)
-      CHECK((process.election.Reads() || process.takeovers > 0));
+      CHECK((process.election.IsReader() || process.takeovers > 0));
   }
   SUBCASE("and once the platform answers again, one reader remains within 400 ms")
   {
@@ -206,16 +206,16 @@
     hall.RunFor(Milliseconds(1300));
     const bool is_read = std::ranges::any_of(
         hall.processes, [&](const Hall::Process& process)
-        { return process.election.Reads() && hall.now - process.answered < Milliseconds(50); });
+        { return process.election.IsReader() && hall.now - process.answered < Milliseconds(50); });
     CHECK(is_read);
   }
 }
 
 TEST_CASE("A process that has just started waits briefly for the state of other processes")
 {
-  ReaderDuty election(LOCAL_RANK, 1);
-  election.WaitToBeTold(START);
-  CHECK_FALSE(election.Reads());
+  ReaderElection election(LOCAL_RANK, 1);
+  election.WaitForPeerState(START);
+  CHECK_FALSE(election.IsReader());
   CHECK_FALSE(election.IsFollowing());
   CHECK_FALSE(StartsReading(election, START + Milliseconds(19)));
 
@@ -229,22 +229,22 @@
     std::set<Common::TimePoint> start_times;
     for (std::uint64_t seed = 0; seed < 100; ++seed)
     {
-      ReaderDuty other(seed, seed);
-      other.WaitToBeTold(START);
+      ReaderElection other(seed, seed);
+      other.WaitForPeerState(START);
       start_times.insert(other.NextWakeup());
     }
     CHECK(start_times.size() > 60);
   }
   SUBCASE("or reads immediately if no other process of its hall is known")
   {
-    election.OnAlone(START + Milliseconds(5));
+    election.OnNoPeers(START + Milliseconds(5));
     CHECK(StartsReading(election, START + Milliseconds(5)));
   }
   SUBCASE("and follows a reader whose heartbeat arrives")
   {
-    election.OnReaderBeat(HIGHER_RANK, Milliseconds(50), START + Milliseconds(30));
+    election.OnReaderHeartbeat(HIGHER_RANK, Milliseconds(50), START + Milliseconds(30));
     CHECK(election.IsFollowing());
-    election.OnAlone(START + Milliseconds(40));
+    election.OnNoPeers(START + Milliseconds(40));
     CHECK_FALSE(StartsReading(election, START + Milliseconds(900)));
     CHECK(StartsReading(election, START + Milliseconds(1200)));
   }
--- a/Source/UnitTests/Core/Control/VersionAgesTest.cpp
+++ b/Source/UnitTests/Core/Control/VersionAgesTest.cpp
@@ -27,9 +27,10 @@
   return {};
 }
 
-OperatorRead NameVersion(std::uint64_t version, Settings::DocumentVersion settings, Position next)
+OperatorChanges NameVersion(std::uint64_t version, Settings::DocumentVersion settings,
+                            Position next)
 {
-  OperatorRead read = MakeRead(settings, next);
+  OperatorChanges read = MakeRead(settings, next);
   read.weights = {{"m", version}};
   return read;
 }
@@ -91,7 +92,7 @@
   {
     const KnownSince assumed{START - Milliseconds(5500), true};
     f.follower.OfferWeights({"m", 2}, assumed);
-    f.follower.OnToldAll(f.now - Milliseconds(100));
+    f.follower.OnAllVersionsAnnounced(f.now - Milliseconds(100));
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     CHECK(SinceOf(f, 2) == assumed);
   }
@@ -99,7 +100,7 @@
       "unless another process has recently announced all versions, and this one was not among them")
   {
     const Common::TimePoint announced_at = f.now - Milliseconds(300);
-    f.follower.OnToldAll(announced_at);
+    f.follower.OnAllVersionsAnnounced(announced_at);
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     // The list was requested at the start, and its answer has not arrived yet.
     CHECK(SinceOf(f, 2) == KnownSince{START});
@@ -114,7 +115,7 @@
   f.follower.SetReading(false);
   f.Tick();
   const Common::TimePoint announced_at = f.now;
-  f.follower.OnToldAll(announced_at);
+  f.follower.OnAllVersionsAnnounced(announced_at);
   f.now += Milliseconds(1200);
   f.follower.SetReading(true);
   f.Tick();
@@ -155,7 +156,7 @@
     f.Tick();
     f.now += Milliseconds(40);
     f.follower.OfferWeights({"m", 2}, assumed);
-    f.follower.OnToldAll(f.now);
+    f.follower.OnAllVersionsAnnounced(f.now);
     f.now += Milliseconds(160);
     f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
     CHECK(SinceOf(f, 2) == assumed);
@@ -165,9 +166,9 @@
     f.follower.SetReading(false);
     f.Tick();
     f.follower.OfferWeights({"m", 2}, assumed);
-    f.follower.OnToldAll(f.now);
+    f.follower.OnAllVersionsAnnounced(f.now);
     f.now += Milliseconds(30000);
-    f.follower.OnToldAll(f.now);
+    f.follower.OnAllVersionsAnnounced(f.now);
     f.now += Milliseconds(1200);
     f.follower.SetReading(true);
     f.Tick();
@@ -195,7 +196,7 @@
   f.follower = ControlFollower(options, 1);
   f.Tick();
   // GatewayControl reports this time for a reader that has received no answer yet.
-  f.follower.OnToldAll(f.now - std::chrono::hours(1));
+  f.follower.OnAllVersionsAnnounced(f.now - std::chrono::hours(1));
   f.now += Milliseconds(200);
   f.follower.OnOperatorRead(NameVersion(2, 1, 9), f.now);
   CHECK(SinceOf(f, 2) == KnownSince{START - Milliseconds(6000), true});
@@ -229,7 +230,7 @@
   // not ticked until they have been silent for 1.5 s.
   f.now += Milliseconds(30000);
   const Common::TimePoint announced_at = f.now;
-  f.follower.OnToldAll(announced_at);
+  f.follower.OnAllVersionsAnnounced(announced_at);
   f.Tick(Milliseconds(1500));
   f.follower.OnTargetsRead(TargetsRead{false, {}, 1}, f.now);
   f.follower.OnOperatorRead(NameVersion(2, 2, 10), f.now);
--- a/Source/UnitTests/Core/Mesh/BriefingTest.cpp
+++ b/Source/UnitTests/Core/Mesh/BriefingTest.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE("Sidecars receive hellos periodically, and the plan only once")
 {
-  Briefing briefing("here");
+  BriefingSender briefing("here");
   briefing.SetPlan(PLAN, 7, START);
   briefing.SetSidecars({NEAR, FAR}, 40, START);
   std::vector<Outgoing> out;
@@ -58,7 +58,7 @@
 
 TEST_CASE("A sidecar that lacks a newer plan or list of peers receives both again")
 {
-  Briefing briefing("here");
+  BriefingSender briefing("here");
   briefing.SetPlan(PLAN, 7, START);
   briefing.SetSidecars({NEAR}, 40, START);
   std::vector<Outgoing> out;
@@ -99,7 +99,7 @@
     }
     SUBCASE("after a delay, if another gateway is the reader")
     {
-      briefing.SetReads(false);
+      briefing.SetIsReader(false);
       briefing.SetSidecars({NEAR, FAR}, 50, now);
       tick(Milliseconds(10));
       CHECK(!has_briefing());
@@ -116,7 +116,7 @@
   {
     briefing.OnReported(NEAR.address, {7, 40}, now);
     const Peer added{{"10.0.0.4", 7700}, "here"};
-    briefing.SetReads(false);
+    briefing.SetIsReader(false);
     briefing.SetSidecars({NEAR, added}, 50, now);
     CHECK(briefing.NextWakeup() <= now);
     tick(Milliseconds(10));
@@ -129,9 +129,9 @@
     "Sidecars of targets in use are asked for every load report, and the others receive no hellos")
 {
   const Peer unused{{"10.0.0.3", 7700}, "there"};
-  Briefing briefing("here");
+  BriefingSender briefing("here");
   briefing.SetSidecars({NEAR, FAR, unused}, 40, START);
-  briefing.SetUse({{NEAR.address, FAR.address}, false, {120, 0.25}, 13});
+  briefing.SetTargetUse({{NEAR.address, FAR.address}, false, {120, 0.25}, 13});
   std::vector<Outgoing> out;
   briefing.OnTick(START, &out);
   REQUIRE(out.size() == 2);
@@ -143,7 +143,7 @@
   SUBCASE("sidecars of other halls are asked as soon as their targets are needed")
   {
     out.clear();
-    briefing.SetUse({{NEAR.address, FAR.address}, true, {}, 13});
+    briefing.SetTargetUse({{NEAR.address, FAR.address}, true, {}, 13});
     CHECK(briefing.NextWakeup() <= START);
     briefing.OnTick(START + Milliseconds(10), &out);
     REQUIRE(out.size() == 1);
@@ -178,12 +178,12 @@
 
 TEST_CASE("A sidecar that asks receives the plan and the peers, even if it is on no list yet")
 {
-  Briefing briefing("here");
-  CHECK(briefing.WholeHello(START).plan.model.empty());
+  BriefingSender briefing("here");
+  CHECK(briefing.FullHello(START).plan.model.empty());
   briefing.SetPlan(PLAN, 7, START);
   briefing.SetSidecars({NEAR, FAR}, 40, START);
   briefing.SetWeights({"m", 2}, {START});
-  const Hello hello = briefing.WholeHello(START);
+  const Hello hello = briefing.FullHello(START);
   CHECK(hello.is_gateway);
   CHECK(hello.plan == PLAN);
   CHECK(hello.peers == std::vector{NEAR, FAR});
--- a/Source/UnitTests/Core/Mesh/GatewayMembershipTest.cpp
+++ b/Source/UnitTests/Core/Mesh/GatewayMembershipTest.cpp
@@ -65,7 +65,7 @@
 {
   GatewayMembership seed(SELF, "here", {});
   const auto ask = [&](const Sender& from, bool is_gateway, Common::TimePoint at)
-  { return seed.OnAsked(from, {is_gateway}, at).gateways; };
+  { return seed.OnGatewaysRequest(from, {is_gateway}, at).gateways; };
 
   SUBCASE("for a process of its own hall, including itself")
   {
@@ -103,10 +103,11 @@
 TEST_CASE("Listed gateways are counted, and new ones are recognised")
 {
   GatewayMembership membership(SELF, "here", {});
-  CHECK(membership.OnNamed({AddressOf(3), AddressOf(4), SELF}, START));
-  CHECK_FALSE(membership.OnNamed({AddressOf(3), SELF}, START + Milliseconds(100)));
-  CHECK(membership.OnCounted(12, START + Milliseconds(200)) == Gateway::GatewayCounts{12, 3});
-  CHECK(membership.Near() == 3);
+  CHECK(membership.OnGatewaysListed({AddressOf(3), AddressOf(4), SELF}, START));
+  CHECK_FALSE(membership.OnGatewaysListed({AddressOf(3), SELF}, START + Milliseconds(100)));
+  CHECK(membership.OnGatewaysCounted(12, START + Milliseconds(200)) ==
+        Gateway::GatewayCounts{12, 3});
+  CHECK(membership.HallGatewayCount() == 3);
 }
 
 TEST_CASE("All gateways of a hall find each other through one seed within 600 ms of a start")
@@ -129,8 +130,9 @@
       const bool has_started = ms >= i * 7 % 300;
       if (!has_started || gateways[static_cast<std::size_t>(i)].SeedsToAsk(false, now).empty())
         continue;
-      const TellGateways answer = gateways[0].OnAsked(SenderAt("here", i + 1), {true}, now);
-      gateways[static_cast<std::size_t>(i)].OnNamed(answer.gateways, now);
+      const GatewaysReply answer =
+          gateways[0].OnGatewaysRequest(SenderAt("here", i + 1), {true}, now);
+      gateways[static_cast<std::size_t>(i)].OnGatewaysListed(answer.gateways, now);
     }
   }
   for (GatewayMembership& gateway : gateways)
--- a/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
@@ -47,7 +47,7 @@
   }
   void AnnounceWork(const Mesh::Sender& from, std::uint32_t requests, std::uint32_t unread)
   {
-    sidecar.OnMessage(from, Mesh::TellWork{{requests, unread}}, now, &actions);
+    sidecar.OnMessage(from, Mesh::WorkUpdate{{requests, unread}}, now, &actions);
   }
   void AdvanceBy(Common::Duration time)
   {
--- a/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
@@ -52,14 +52,14 @@
 {
   Fixture fixture;
   fixture.Tick(Milliseconds(0));
-  REQUIRE(fixture.ReceiversOf<Mesh::AskGateways>() == std::vector{SEED});
+  REQUIRE(fixture.ReceiversOf<Mesh::GatewaysRequest>() == std::vector{SEED});
 
   SUBCASE("and asks some of these gateways for a briefing, so that it need not wait until it is in "
           "the target list")
   {
     const std::vector<Address> named = {{"10.0.0.1", 7700}, {"10.0.0.2", 7700}, {"10.0.0.3", 7700}};
-    fixture.Receive(Mesh::TellGateways{named});
-    const std::vector<Address> asked = fixture.ReceiversOf<Mesh::AskBriefing>();
+    fixture.Receive(Mesh::GatewaysReply{named});
+    const std::vector<Address> asked = fixture.ReceiversOf<Mesh::BriefingRequest>();
     REQUIRE(asked.size() == 2);
     CHECK(asked[0] != asked[1]);
     fixture.sidecar.Handle(ReportRead{EngineReport{}}, fixture.now, &fixture.actions);
@@ -73,12 +73,12 @@
     CHECK(fixture.sidecar.HasPlan());
     CHECK(fixture.sidecar.WantedVersion() == 3);
     fixture.Tick(Milliseconds(300));
-    CHECK(fixture.ReceiversOf<Mesh::AskGateways>().empty());
+    CHECK(fixture.ReceiversOf<Mesh::GatewaysRequest>().empty());
   }
   SUBCASE("and asks again while no gateway answers, and the platform after a timeout")
   {
     fixture.Tick(Milliseconds(250));
-    CHECK(fixture.ReceiversOf<Mesh::AskGateways>().size() == 1);
+    CHECK(fixture.ReceiversOf<Mesh::GatewaysRequest>().size() == 1);
     CHECK_FALSE(fixture.sidecar.IsAlone(START + Milliseconds(1400)));
     CHECK(fixture.sidecar.IsAlone(START + Milliseconds(1600)));
   }
@@ -88,7 +88,7 @@
     hello.is_gateway = true;
     fixture.Receive(hello);
     fixture.Tick(Milliseconds(250));
-    CHECK(fixture.ReceiversOf<Mesh::AskGateways>().size() == 1);
+    CHECK(fixture.ReceiversOf<Mesh::GatewaysRequest>().size() == 1);
   }
 }
 
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
@@ -430,7 +430,7 @@
   if (from.is_cut_off || to.is_cut_off)
     return;
   std::size_t bytes = SMALL_MESSAGE_BYTES;
-  if (const auto* piece = std::get_if<Mesh::TellPiece>(&send.message);
+  if (const auto* piece = std::get_if<Mesh::PieceReply>(&send.message);
       piece && Common::Succeeded(piece->result))
   {
     bytes += std::get<Bytes>(piece->result)->size();
--- a/Source/UnitTests/Peers/MeshCodecTest.cpp
+++ b/Source/UnitTests/Peers/MeshCodecTest.cpp
@@ -92,7 +92,7 @@
   }
   SUBCASE("the work of a gateway")
   {
-    CHECK(There(Mesh::TellWork{{3, 4200}}).work == Gateway::OwnWork{3, 4200});
+    CHECK(There(Mesh::WorkUpdate{{3, 4200}}).work == Gateway::OwnWork{3, 4200});
   }
   SUBCASE("pieces and their announcement")
   {
@@ -103,18 +103,18 @@
     CHECK(announced.bitmap == "bits");
     CHECK(announced.pieces == announcement.pieces);
     CHECK(announced.claimed == announcement.claimed);
-    CHECK(There(Mesh::AskPiece{5, version, 7}).piece == 7);
-    const auto told = There(Mesh::TellPiece{5, Common::MakeBytes(std::string(24576, 'z'))});
+    CHECK(There(Mesh::PieceRequest{5, version, 7}).piece == 7);
+    const auto told = There(Mesh::PieceReply{5, Common::MakeBytes(std::string(24576, 'z'))});
     CHECK(*std::get<Common::Bytes>(told.result) == std::string(24576, 'z'));
-    const auto refused = There(
-        Mesh::TellPiece{6, Common::Error{Common::ErrorKind::SourceBusy, "busy", Milliseconds(30)}});
+    const auto refused = There(Mesh::PieceReply{
+        6, Common::Error{Common::ErrorKind::SourceBusy, "busy", Milliseconds(30)}});
     CHECK(std::get<Common::Error>(refused.result).kind == Common::ErrorKind::SourceBusy);
     CHECK(std::get<Common::Error>(refused.result).retry_after == Milliseconds(30));
   }
   SUBCASE("documents")
   {
-    CHECK(There(Mesh::AskDocument{12}).newer_than == 12);
-    const auto told = There(Mesh::TellDocument{
+    CHECK(There(Mesh::DocumentRequest{12}).newer_than == 12);
+    const auto told = There(Mesh::DocumentUpdate{
         13, 11, Common::MakeBytes("packed"), {{{"m", 2}, Milliseconds(70), true}}});
     REQUIRE(told.weights.size() == 1);
     CHECK(told.weights[0].named.version == 2);
@@ -125,26 +125,26 @@
   }
   SUBCASE("lists of targets")
   {
-    CHECK(There(Mesh::AskTargets{12}).newer_than == 12);
+    CHECK(There(Mesh::TargetsRequest{12}).newer_than == 12);
     Gateway::ListedTarget model{"i-1", "svc", "oslo-a", {"10.1.0.9", 8001}, 16};
     model.weights_version = 3;
     model.needs_weights = true;
     Gateway::ListedTarget leaving{"i-2", "files", "bergen-a", {"10.2.0.9", 8001}, 6};
     leaving.state = Gateway::TargetState::Leaving;
-    const Control::TargetsNews news{
+    const Control::TargetListChanges news{
         38, 40, {{"i-1", model}, {"i-2", leaving}, {"i-3", std::nullopt}}};
-    const Control::TargetsNews told = There(Mesh::TellTargets{news}).news;
+    const Control::TargetListChanges told = There(Mesh::TargetsUpdate{news}).news;
     CHECK(told.base == 38);
     CHECK(told.position == 40);
     CHECK(told.changes == news.changes);
   }
   SUBCASE("who the gateways of a hall are")
   {
-    CHECK(There(Mesh::AskGateways{true}).is_gateway);
-    CHECK_FALSE(There(Mesh::AskGateways{false}).is_gateway);
+    CHECK(There(Mesh::GatewaysRequest{true}).is_gateway);
+    CHECK_FALSE(There(Mesh::GatewaysRequest{false}).is_gateway);
     const std::vector<Common::Address> gateways = {{"10.1.0.4", 7700}, {"10.1.0.5", 7700}};
-    CHECK(There(Mesh::TellGateways{gateways}).gateways == gateways);
-    There(Mesh::AskBriefing{});
+    CHECK(There(Mesh::GatewaysReply{gateways}).gateways == gateways);
+    There(Mesh::BriefingRequest{});
   }
   SUBCASE("a reader's beat")
   {
@@ -162,7 +162,7 @@
 {
   CHECK_FALSE(MeshPeer::Decode("").has_value());
   CHECK_FALSE(MeshPeer::Decode("not a message at all").has_value());
-  std::string cut = MeshPeer::Encode(FROM, Mesh::AskDocument{1});
+  std::string cut = MeshPeer::Encode(FROM, Mesh::DocumentRequest{1});
   cut.resize(cut.size() / 2);
   CHECK_FALSE(MeshPeer::Decode(cut).has_value());
 }
--- a/Source/UnitTests/Peers/MeshMutationTest.cpp
+++ b/Source/UnitTests/Peers/MeshMutationTest.cpp
@@ -34,9 +34,9 @@
       MeshPeer::Encode(from, hello),
       MeshPeer::Encode(from, report),
       MeshPeer::Encode(from, announce),
-      MeshPeer::Encode(from, Mesh::TellWork{{3, 4200}}),
-      MeshPeer::Encode(from, Mesh::AskPiece{7, Common::Sha256("v"), 3}),
-      MeshPeer::Encode(from, Mesh::TellPiece{7, Common::MakeBytes("the bytes")})};
+      MeshPeer::Encode(from, Mesh::WorkUpdate{{3, 4200}}),
+      MeshPeer::Encode(from, Mesh::PieceRequest{7, Common::Sha256("v"), 3}),
+      MeshPeer::Encode(from, Mesh::PieceReply{7, Common::MakeBytes("the bytes")})};
   // Seed 7 found a report of 87 bytes that was read as one of 53 MB. HOLDPOST_MUTATION_SEED plays
   // others by hand.
   const char* seed = std::getenv("HOLDPOST_MUTATION_SEED");
