--- a/Source/Core/Distribution/Actions.h
+++ b/Source/Core/Distribution/Actions.h
@@ -53,8 +53,8 @@
 {
   Common::Digest version;
   std::uint32_t piece_count = 0; // 0 while the sender has no manifest
-  bool is_whole = false;    // `bitmap` lists all held pieces; otherwise `pieces` lists added ones
-  bool wants_reply = false; // the sender does not know the receiver's pieces
+  bool is_full_list = false; // `bitmap` lists all held pieces; otherwise `pieces` lists added ones
+  bool wants_reply = false;  // the sender does not know the receiver's pieces
   std::string bitmap;
   std::vector<std::uint32_t> pieces;
   // Pieces that the sender is fetching into the hall.
--- a/Source/Core/Distribution/Exchange.cpp
+++ b/Source/Core/Distribution/Exchange.cpp
@@ -28,7 +28,7 @@
   m_options = options;
   m_uploads.SetLimits(options.link_bytes_per_second, options.link_pacing, options.upload_queue_most,
                       options.swarm.stall / UPLOAD_WAIT_DIVISOR);
-  m_uploads.SetMaxUnconfirmed(options.uploads_unconfirmed_most, options.swarm.piece_time);
+  m_uploads.SetMaxUnconfirmed(options.max_unconfirmed_uploads, options.swarm.piece_time);
   m_download.SetRate(options.link_pacing == LinkPacing::Budget ? options.link_bytes_per_second : 0);
   m_shared.downloads.SetPieceTime(options.swarm.piece_time);
   for (const auto& [version, swarm] : m_swarms)
@@ -46,7 +46,7 @@
     fetchers.push_back({candidate.instance, candidate.hall});
     // When a hall divides its cross-hall transfers among its instances, only instances of the same
     // hall are neighbours for all pieces.
-    if (!m_options.swarm.shares_crossings || candidate.hall == m_hall)
+    if (!m_options.swarm.shares_cross_hall_fetches || candidate.hall == m_hall)
       same_version.push_back(candidate);
   }
   swarm.SetPeers(
@@ -158,11 +158,11 @@
   m_uploads.Advance(now, actions);
 }
 
-void Exchange::OfferPiece(const Digest& version, std::uint32_t piece, const Bytes& data,
-                          TimePoint now, Actions* actions)
+void Exchange::RestorePiece(const Digest& version, std::uint32_t piece, const Bytes& data,
+                            TimePoint now, Actions* actions)
 {
   if (const auto found = m_swarms.find(version); found != m_swarms.end())
-    found->second->OfferPiece(piece, data, now, actions);
+    found->second->RestorePiece(piece, data, now, actions);
 }
 
 void Exchange::OnTick(TimePoint now, Actions* actions)
@@ -199,8 +199,8 @@
 {
   std::size_t open = 0;
   for (const auto& [version, swarm] : m_swarms)
-    open += swarm->OpenAtOrigin() + swarm->OpenAtPeers();
-  return static_cast<Common::Duration::rep>(open + 1) * NarrowPieceTime(now);
+    open += swarm->OpenPlatformFetches() + swarm->OpenPeerFetches();
+  return static_cast<Common::Duration::rep>(open + 1) * NarrowLinkPieceTime(now);
 }
 
 const Swarm* Exchange::Find(const Digest& version) const
--- a/Source/Core/Distribution/Exchange.h
+++ b/Source/Core/Distribution/Exchange.h
@@ -26,7 +26,7 @@
   std::uint64_t link_bytes_per_second = 0; // in each direction; 0 for no limit
   LinkPacing link_pacing = LinkPacing::Budget;
   // See Uploads::SetMaxUnconfirmed; 0 if receivers send no confirmations.
-  std::size_t uploads_unconfirmed_most = 0;
+  std::size_t max_unconfirmed_uploads = 0;
 };
 
 class Exchange
@@ -57,17 +57,17 @@
   // The peer has received the piece or no longer waits for it.
   void OnRequestAbandoned(RequestTag tag, Common::TimePoint now, Actions* actions);
   // Adds a piece that an earlier incarnation stored, if it belongs to the version.
-  void OfferPiece(const Common::Digest& version, std::uint32_t piece, const Common::Bytes& data,
-                  Common::TimePoint now, Actions* actions);
+  void RestorePiece(const Common::Digest& version, std::uint32_t piece, const Common::Bytes& data,
+                    Common::TimePoint now, Actions* actions);
   void OnTick(Common::TimePoint now, Actions* actions);
   // Returns the time of the next OnTick call; empty while no work is pending.
   std::optional<Common::TimePoint> NextWakeup(Common::TimePoint now) const;
 
   // Returns the transfer time of one piece on the local link if the link is slower than expected,
   // otherwise zero.
-  Common::Duration NarrowPieceTime(Common::TimePoint now) const
+  Common::Duration NarrowLinkPieceTime(Common::TimePoint now) const
   {
-    return m_shared.downloads.NarrowPieceTime(now);
+    return m_shared.downloads.NarrowLinkPieceTime(now);
   }
   // Returns the delay that open piece transfers may add to a message to this instance on a slow
   // link; zero if the link has its expected rate.
--- a/Source/Core/Distribution/LinkWatch.h
+++ b/Source/Core/Distribution/LinkWatch.h
@@ -36,7 +36,7 @@
            FastSamples() <= m_count / FAST_SAMPLE_DIVISOR;
   }
   // Returns the transfer time of one piece while the link is narrow, otherwise zero.
-  Common::Duration NarrowPieceTime(Common::TimePoint now) const
+  Common::Duration NarrowLinkPieceTime(Common::TimePoint now) const
   {
     if (!IsNarrow(now))
       return Common::Duration::zero();
--- a/Source/Core/Distribution/Manifest.cpp
+++ b/Source/Core/Distribution/Manifest.cpp
@@ -35,10 +35,10 @@
 
 static std::string FindManifestError(const Manifest& manifest)
 {
-  if (manifest.piece_bytes < PIECE_BYTES_LEAST || manifest.piece_bytes > PIECE_BYTES_MOST)
+  if (manifest.piece_bytes < MIN_PIECE_BYTES || manifest.piece_bytes > MAX_PIECE_BYTES)
   {
     return fmt::format("piece_bytes: found {}, expected from {} to {}", manifest.piece_bytes,
-                       PIECE_BYTES_LEAST, PIECE_BYTES_MOST);
+                       MIN_PIECE_BYTES, MAX_PIECE_BYTES);
   }
   if (manifest.total_bytes == 0)
     return "total_bytes: found 0, expected at least 1";
--- a/Source/Core/Distribution/Manifest.h
+++ b/Source/Core/Distribution/Manifest.h
@@ -12,8 +12,8 @@
 // identifies the version.
 namespace Holdpost::Distribution
 {
-constexpr std::uint32_t PIECE_BYTES_LEAST = 1024;
-constexpr std::uint32_t PIECE_BYTES_MOST = 16 << 20;
+constexpr std::uint32_t MIN_PIECE_BYTES = 1024;
+constexpr std::uint32_t MAX_PIECE_BYTES = 16 << 20;
 
 struct Manifest
 {
--- a/Source/Core/Distribution/Swarm.cpp
+++ b/Source/Core/Distribution/Swarm.cpp
@@ -162,7 +162,7 @@
   if (is_new)
   {
     neighbour.held = PieceSet(m_held.Size());
-    neighbour.is_remote = m_options.shares_crossings && IsInOtherHall(peer);
+    neighbour.is_remote = m_options.shares_cross_hall_fetches && IsInOtherHall(peer);
   }
   if (const auto hall = m_hall_by_instance.find(peer);
       hall != m_hall_by_instance.end() && hall->second == m_options.origin_hall)
@@ -184,7 +184,7 @@
   }
   if (announcement.piece_count == m_held.Size())
   {
-    if (announcement.is_whole)
+    if (announcement.is_full_list)
     {
       ClearHoldings(neighbour);
       const PieceSet held = PieceSet::FromBitmap(announcement.bitmap, m_held.Size());
@@ -229,7 +229,7 @@
   if (!m_last_availability_at)
     m_last_availability_at = now;
   CancelStalledFetches(now, actions);
-  if (m_options.shares_crossings && !IsHeld() && now >= m_resync_due)
+  if (m_options.shares_cross_hall_fetches && !IsHeld() && now >= m_resync_due)
     ResyncHoldings(now, actions);
   ScheduleFetches(now, actions);
 }
--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -35,14 +35,14 @@
   Common::Duration stall = Common::Milliseconds(3000);
   // Maximum backoff after a failed request to a source of the platform. A retry delay that the
   // source states replaces the backoff.
-  Common::Duration backoff_most = Common::Milliseconds(5000);
+  Common::Duration max_backoff = Common::Milliseconds(5000);
   std::uint32_t window_per_peer = 1;
   std::uint32_t platform_window = 4;
-  std::uint32_t window_in_all = 16;
+  std::uint32_t total_window = 16;
   // Upper bound of the total window while the hall still has to fetch pieces of this or another
   // version from outside. These pieces have priority because all instances of the hall wait for
   // them. The bound applies only with `adapts_window`.
-  std::uint32_t window_while_lacking = 16;
+  std::uint32_t total_window_while_incomplete = 16;
   // Requests the last pieces from a second peer too.
   bool may_hedge = true;
   // If false, the swarm fetches only the manifest, because the instance may hold the pieces
@@ -63,7 +63,7 @@
   // Cross-hall transfers are expensive. If true, the instances of a hall divide the fetches from
   // outside the hall among themselves, and each instance announces the pieces that it is fetching.
   // The origin is outside of every hall except its own.
-  bool shares_crossings = false;
+  bool shares_cross_hall_fetches = false;
   std::string origin_hall;
   // While a neighbour's announced claim to fetch a piece is younger than this time, this instance
   // does not fetch the piece.
@@ -119,8 +119,8 @@
                  Actions* actions);
   // Adds a piece that an earlier incarnation stored. Ignores a piece that does not belong to this
   // version.
-  void OfferPiece(std::uint32_t piece, const Common::Bytes& data, Common::TimePoint now,
-                  Actions* actions);
+  void RestorePiece(std::uint32_t piece, const Common::Bytes& data, Common::TimePoint now,
+                    Actions* actions);
   void OnTick(Common::TimePoint now, Actions* actions);
   // Cancels all fetches because the version is no longer wanted.
   void Stop(Actions* actions);
@@ -136,14 +136,14 @@
   Common::Bytes Piece(std::uint32_t piece) const;
   // Returns whether the bytes match the piece's hash in the manifest; false while the manifest is
   // unknown.
-  bool IsRight(std::uint32_t piece, const std::string& data) const;
+  bool IsValidPiece(std::uint32_t piece, const std::string& data) const;
   std::uint32_t PiecesHeld() const { return m_held.Count(); }
   // Figures for the progress log lines: the open fetches by source, the neighbours, and the pieces
   // that neither this instance nor a neighbour holds.
-  std::uint32_t OpenAtOrigin() const { return m_platform_outstanding; }
-  std::size_t OpenAtPeers() const { return m_fetches.size() - m_platform_outstanding; }
+  std::uint32_t OpenPlatformFetches() const { return m_platform_outstanding; }
+  std::size_t OpenPeerFetches() const { return m_fetches.size() - m_platform_outstanding; }
   std::size_t NeighbourCount() const { return m_neighbours.size(); }
-  std::uint32_t PiecesUnseen() const;
+  std::uint32_t UnavailablePieces() const;
   // Returns the time at which the last piece was verified, or the epoch before that.
   Common::TimePoint HeldAt() const { return m_held_at; }
 
--- a/Source/Core/Distribution/SwarmHalls.cpp
+++ b/Source/Core/Distribution/SwarmHalls.cpp
@@ -51,7 +51,7 @@
   const std::uint32_t count = m_manifest ? m_manifest->PieceCount() : 1;
   m_ranks = RankPieces(m_version, count, m_self.instance, all_instances);
   m_manifest_rank = m_ranks.front();
-  if (!m_options.shares_crossings)
+  if (!m_options.shares_cross_hall_fetches)
     return;
   m_assignments.clear();
   for (const auto& [hall, others] : m_halls)
@@ -319,11 +319,11 @@
 std::uint32_t Swarm::TotalWindow(TimePoint now) const
 {
   if (!m_options.adapts_window)
-    return m_options.window_in_all;
+    return m_options.total_window;
   const std::uint32_t configured =
       m_shared->incomplete_in_hall.empty()
-          ? m_options.window_in_all
-          : std::min(m_options.window_while_lacking, m_options.window_in_all);
+          ? m_options.total_window
+          : std::min(m_options.total_window_while_incomplete, m_options.total_window);
   const std::uint32_t window = IsLinkNarrow(now) ? 1 : configured;
   // Fetches from the platform's sources use the local link too.
   const std::uint32_t platform_fetches = m_platform_outstanding;
@@ -332,11 +332,11 @@
 
 bool Swarm::IsHallIncomplete(TimePoint now) const
 {
-  if (!m_options.shares_crossings || IsHeld())
+  if (!m_options.shares_cross_hall_fetches || IsHeld())
     return false;
   if (!m_manifest)
     return now - m_view_confirmed_at < MIN_OUTAGE;
-  return PiecesUnseen() > 0 && OriginOutage(now) < Duration::zero();
+  return UnavailablePieces() > 0 && OriginOutage(now) < Duration::zero();
 }
 
 bool Swarm::IsLinkNarrow(TimePoint now) const
--- a/Source/Core/Distribution/SwarmSchedule.cpp
+++ b/Source/Core/Distribution/SwarmSchedule.cpp
@@ -37,7 +37,7 @@
   }
   if (m_held.IsFull() || !m_options.fetches_pieces)
     return;
-  if (m_options.shares_crossings)
+  if (m_options.shares_cross_hall_fetches)
   {
     ScheduleOutsideFetches(now, actions);
     SchedulePeerFetches(now, actions);
--- a/Source/Core/Distribution/SwarmTransfers.cpp
+++ b/Source/Core/Distribution/SwarmTransfers.cpp
@@ -53,7 +53,7 @@
   CancelFetchesOf(MANIFEST_PIECE, actions);
   for (std::uint32_t piece = 0; piece < m_pieces_to_reverify.size(); ++piece)
   {
-    if (m_pieces_to_reverify[piece] && IsRight(piece, *m_pieces_to_reverify[piece]))
+    if (m_pieces_to_reverify[piece] && IsValidPiece(piece, *m_pieces_to_reverify[piece]))
       AddVerifiedPiece(piece, m_pieces_to_reverify[piece], now, actions);
   }
   m_pieces_to_reverify.clear();
@@ -86,7 +86,7 @@
     actions->push_back(CountTransfer{TransferEvent::PieceTwice, data->size()});
     return;
   }
-  if (!IsRight(fetch.piece, *data))
+  if (!IsValidPiece(fetch.piece, *data))
   {
     OnCorrupt(fetch, now, actions);
     return;
@@ -94,7 +94,7 @@
   if (fetch.peer.empty())
   {
     m_last_availability_at = now;
-    if (OnPieceInHall(fetch.piece, now) && m_options.shares_crossings)
+    if (OnPieceInHall(fetch.piece, now) && m_options.shares_cross_hall_fetches)
       AnnounceToHall(fetch.piece, actions);
     actions->push_back(CountTransfer{fetch.source == PlatformSource::Store
                                          ? TransferEvent::PieceFromStore
@@ -108,7 +108,7 @@
   OnSourceProgress(fetch, now);
   const bool is_from_outside = fetch.peer.empty() || IsInOtherHall(fetch.peer);
   AddVerifiedPiece(fetch.piece, data, now, actions);
-  if (m_options.shares_crossings && is_from_outside)
+  if (m_options.shares_cross_hall_fetches && is_from_outside)
     AnnounceToNextHall(fetch.piece, fetch.peer.empty(), actions);
 }
 
@@ -127,7 +127,7 @@
   }
 }
 
-std::uint32_t Swarm::PiecesUnseen() const
+std::uint32_t Swarm::UnavailablePieces() const
 {
   std::uint32_t unavailable = 0;
   for (std::uint32_t piece = 0; piece < m_availability.size(); ++piece)
@@ -135,16 +135,16 @@
   return unavailable;
 }
 
-bool Swarm::IsRight(std::uint32_t piece, const std::string& data) const
+bool Swarm::IsValidPiece(std::uint32_t piece, const std::string& data) const
 {
   return m_manifest && piece < m_manifest->PieceCount() &&
          data.size() == m_manifest->BytesOf(piece) &&
          Common::Sha256(data) == m_manifest->pieces[piece];
 }
 
-void Swarm::OfferPiece(std::uint32_t piece, const Bytes& data, TimePoint now, Actions* actions)
+void Swarm::RestorePiece(std::uint32_t piece, const Bytes& data, TimePoint now, Actions* actions)
 {
-  if (m_held.Contains(piece) || !IsRight(piece, *data))
+  if (m_held.Contains(piece) || !IsValidPiece(piece, *data))
     return;
   AddVerifiedPiece(piece, data, now, actions);
   ScheduleFetches(now, actions);
@@ -206,7 +206,7 @@
   const bool is_busy = error.kind == ErrorKind::SourceBusy;
   actions->push_back(
       CountTransfer{is_busy ? TransferEvent::OriginBusy : TransferEvent::OriginFailed});
-  state.backoff = std::clamp(state.backoff * 2, MIN_BACKOFF, m_options.backoff_most);
+  state.backoff = std::clamp(state.backoff * 2, MIN_BACKOFF, m_options.max_backoff);
   state.blocked_until = now + (error.retry_after ? Duration(*error.retry_after) : state.backoff);
 }
 
--- a/Source/Core/Distribution/Uploads.cpp
+++ b/Source/Core/Distribution/Uploads.cpp
@@ -92,7 +92,7 @@
   // On a link that is narrower than expected, other traffic gets a pause as long as the transfer of
   // one piece.
   if (m_tracker.IsNarrow(now))
-    m_pause_until = now + std::min(m_tracker.NarrowPieceTime(now), MAX_PAUSE);
+    m_pause_until = now + std::min(m_tracker.NarrowLinkPieceTime(now), MAX_PAUSE);
 }
 
 void Uploads::Remove(RequestTag tag, TimePoint now)
--- a/Source/Core/Node/AgentWeights.cpp
+++ b/Source/Core/Node/AgentWeights.cpp
@@ -37,7 +37,7 @@
   options.swarm.window_per_peer = static_cast<std::uint32_t>(settings.Integer(Field::WindowPieces));
   options.neighbours = static_cast<std::size_t>(settings.Integer(Field::Neighbours));
   // Everyone has as many requests open, whatever its links: uploads are shared out by requests.
-  options.swarm.window_in_all =
+  options.swarm.total_window =
       static_cast<std::uint32_t>(options.neighbours) * options.swarm.window_per_peer;
   options.upload_queue_most = static_cast<std::size_t>(settings.Integer(Field::UploadQueueMost));
   const std::int64_t share = 100 - settings.Integer(Field::ServingSharePercent);
--- a/Source/Core/Sidecar/Sidecar.cpp
+++ b/Source/Core/Sidecar/Sidecar.cpp
@@ -82,20 +82,20 @@
   options.neighbours = MAX_NEIGHBOURS;
   options.swarm.patience = TAKEOVER_DELAY;
   options.swarm.stall = STALL_TIMEOUT;
-  options.swarm.backoff_most = MAX_ORIGIN_BACKOFF;
+  options.swarm.max_backoff = MAX_ORIGIN_BACKOFF;
   const bool is_urgent = m_urgency == Urgency::Urgent;
   options.upload_queue_most = is_urgent ? MAX_QUEUED_UPLOADS_URGENT : MAX_QUEUED_UPLOADS;
-  options.uploads_unconfirmed_most =
+  options.max_unconfirmed_uploads =
       is_urgent ? MAX_CONCURRENT_PIECES_URGENT : MAX_CONCURRENT_PIECES;
   options.swarm.fetches_pieces = m_urgency != Urgency::ChecksStage;
   options.swarm.adapts_window = true;
-  options.swarm.window_in_all = MaxConcurrentPieces();
+  options.swarm.total_window = MaxConcurrentPieces();
   options.swarm.piece_time = PieceTime();
   options.swarm.origin_piece_time = OriginPieceTime();
-  options.swarm.window_while_lacking = MaxDownloadsWhileIncomplete();
+  options.swarm.total_window_while_incomplete = MaxDownloadsWhileIncomplete();
   options.swarm.is_named_by_content = false;
   options.swarm.has_weight_store = false;
-  options.swarm.shares_crossings = true;
+  options.swarm.shares_cross_hall_fetches = true;
   options.swarm.origin_hall = m_plan.origin_hall;
   options.swarm.claim_lifetime = ClaimLifetime();
   return options;
--- a/Source/Core/Sidecar/SidecarEngine.cpp
+++ b/Source/Core/Sidecar/SidecarEngine.cpp
@@ -111,10 +111,10 @@
     if (const auto* data = std::get_if<Common::Bytes>(&event.result))
     {
       Distribution::Actions new_actions;
-      m_exchange.OfferPiece(VersionDigest(m_plan.model, m_wanted), event.piece, *data, now,
-                            &new_actions);
+      m_exchange.RestorePiece(VersionDigest(m_plan.model, m_wanted), event.piece, *data, now,
+                              &new_actions);
       Translate(std::move(new_actions), now, actions);
-      if (swarm && swarm->IsRight(event.piece, **data))
+      if (swarm && swarm->IsValidPiece(event.piece, **data))
         m_stage.OnFound(event.piece);
     }
     return OnTick(now, actions);
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -227,9 +227,9 @@
   if (!swarm)
     return;
   LogEvent(Weight::Important, now, "weights.progress", "version", m_wanted, "pieces",
-           swarm->PiecesHeld(), "from_origin", swarm->OpenAtOrigin(), "from_peers",
-           swarm->OpenAtPeers(), "neighbours", swarm->NeighbourCount(), "unseen",
-           swarm->PiecesUnseen(), "staged", m_stage.StagedCount(), "proven",
+           swarm->PiecesHeld(), "from_origin", swarm->OpenPlatformFetches(), "from_peers",
+           swarm->OpenPeerFetches(), "neighbours", swarm->NeighbourCount(), "unseen",
+           swarm->UnavailablePieces(), "staged", m_stage.StagedCount(), "proven",
            m_stage.VerifiedCount(), "inbound_delay_ms", m_exchange.InboundDelay(now), "busy",
            m_report && m_report->is_busy, "loaded", LoadedVersion(), "left_ms",
            EarliestSwitchDeadline(m_wanted) - now, "running", m_report ? m_report->running : 0,
--- a/Source/Core/Sidecar/SidecarVersions.cpp
+++ b/Source/Core/Sidecar/SidecarVersions.cpp
@@ -71,7 +71,7 @@
   if (!swarm || !swarm->ManifestHeld())
     return false;
   const auto pieces = static_cast<double>(swarm->ManifestHeld()->PieceCount());
-  const double fetched = pieces - swarm->PiecesUnseen();
+  const double fetched = pieces - swarm->UnavailablePieces();
   if (fetched >= MOSTLY_FETCHED_SHARE * pieces)
     return true;
   const std::chrono::duration<double> gap =
@@ -83,7 +83,7 @@
 
 Duration Sidecar::CurrentPieceTime(TimePoint now) const
 {
-  return std::max(PieceTime(), m_exchange.NarrowPieceTime(now));
+  return std::max(PieceTime(), m_exchange.NarrowLinkPieceTime(now));
 }
 
 Duration Sidecar::CurrentCopyTime(TimePoint now) const
@@ -112,7 +112,7 @@
     return SetWantedVersion(m_prefetched, now, actions);
   const Distribution::Swarm* swarm = WantedSwarm();
   // Once the hall holds all pieces of a version, the origin has nothing else to send.
-  const bool is_fetched = swarm && swarm->ManifestHeld() && swarm->PiecesUnseen() == 0;
+  const bool is_fetched = swarm && swarm->ManifestHeld() && swarm->UnavailablePieces() == 0;
   if (newest > m_prefetched && is_fetched)
     PrefetchVersion(newest, now, actions);
 }
--- a/Source/Core/Sidecar/StageKeeper.cpp
+++ b/Source/Core/Sidecar/StageKeeper.cpp
@@ -82,7 +82,7 @@
   if (read.piece >= m_pieces.size() || m_pieces[read.piece] != State::Reading)
     return;
   const auto* data = std::get_if<Common::Bytes>(&read.result);
-  if (data && swarm.IsRight(read.piece, **data))
+  if (data && swarm.IsValidPiece(read.piece, **data))
     return SetState(read.piece, State::Verified);
   // The piece was lost or is corrupt: it is staged again.
   SetState(read.piece, State::Missing);
--- a/Source/OperatorTool/WeightsCommands.cpp
+++ b/Source/OperatorTool/WeightsCommands.cpp
@@ -46,10 +46,10 @@
       "out", po::value(&directory)->value_name("DIR"), "where to write")("json", "print JSON");
   if (const auto done = line.Parse(arguments))
     return *done;
-  if (piece_bytes < Distribution::PIECE_BYTES_LEAST || piece_bytes > Distribution::PIECE_BYTES_MOST)
+  if (piece_bytes < Distribution::MIN_PIECE_BYTES || piece_bytes > Distribution::MAX_PIECE_BYTES)
   {
     fmt::print(stderr, "holdpost manifest: --piece-bytes: found {}, expected from {} to {}\n",
-               piece_bytes, Distribution::PIECE_BYTES_LEAST, Distribution::PIECE_BYTES_MOST);
+               piece_bytes, Distribution::MIN_PIECE_BYTES, Distribution::MAX_PIECE_BYTES);
     return Common::EXIT_BAD_INPUT;
   }
   const auto weights = ReadWeights(weights_file);
--- a/Source/Peers/Instance/Codec.cpp
+++ b/Source/Peers/Instance/Codec.cpp
@@ -104,7 +104,7 @@
 {
   out.setVersion(ToData(announcement.version));
   out.setPieceCount(announcement.piece_count);
-  out.setIsWhole(announcement.is_whole);
+  out.setIsWhole(announcement.is_full_list);
   out.setWantsReply(announcement.wants_reply);
   out.setBitmap(ToData(announcement.bitmap));
   auto pieces = out.initPieces(static_cast<unsigned>(announcement.pieces.size()));
@@ -117,7 +117,7 @@
   Distribution::Announcement announcement;
   announcement.version = ToDigest(in.getVersion());
   announcement.piece_count = in.getPieceCount();
-  announcement.is_whole = in.getIsWhole();
+  announcement.is_full_list = in.getIsWhole();
   announcement.wants_reply = in.getWantsReply();
   announcement.bitmap = ToString(in.getBitmap());
   for (const std::uint32_t piece : in.getPieces())
--- a/Source/Peers/Mesh/MeshWeightsCodec.cpp
+++ b/Source/Peers/Mesh/MeshWeightsCodec.cpp
@@ -17,7 +17,7 @@
   const Distribution::Announcement& announcement = announce.announcement;
   out.setVersion(ToData(announcement.version));
   out.setPieceCount(announcement.piece_count);
-  out.setIsWhole(announcement.is_whole);
+  out.setIsWhole(announcement.is_full_list);
   out.setWantsReply(announcement.wants_reply);
   out.setBitmap(BytesOf(announcement.bitmap));
   auto pieces = out.initPieces(static_cast<unsigned>(announcement.pieces.size()));
@@ -33,7 +33,7 @@
   Distribution::Announcement announcement;
   announcement.version = ToDigest(in.getVersion());
   announcement.piece_count = in.getPieceCount();
-  announcement.is_whole = in.getIsWhole();
+  announcement.is_full_list = in.getIsWhole();
   announcement.wants_reply = in.getWantsReply();
   announcement.bitmap = ToBytes(in.getBitmap());
   for (const std::uint32_t piece : in.getPieces())
--- a/Source/UnitTests/Core/Distribution/UploadsTest.cpp
+++ b/Source/UnitTests/Core/Distribution/UploadsTest.cpp
@@ -138,19 +138,19 @@
     CHECK_FALSE(tracker.IsNarrow(now));
     transfers({450}, 1);
     CHECK(tracker.IsNarrow(now));
-    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
+    CHECK(tracker.NarrowLinkPieceTime(now) == Milliseconds(450));
   }
   SUBCASE("the link is narrow although one transfer in four was fast")
   {
     transfers({500, 600, 450, 60}, 1);
     CHECK(tracker.IsNarrow(now));
-    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(450));
+    CHECK(tracker.NarrowLinkPieceTime(now) == Milliseconds(450));
   }
   SUBCASE("two fast transfers in five show that the link is not narrow")
   {
     transfers({500, 600, 450, 60, 60}, 1);
     CHECK_FALSE(tracker.IsNarrow(now));
-    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(0));
+    CHECK(tracker.NarrowLinkPieceTime(now) == Milliseconds(0));
   }
   SUBCASE("transfers that share the links at both ends do not make the link narrow")
   {
@@ -161,7 +161,7 @@
   SUBCASE("the piece time is the duration divided by the number of concurrent transfers")
   {
     transfers({1500, 1500, 1500}, 5);
-    CHECK(tracker.NarrowPieceTime(now) == Milliseconds(300));
+    CHECK(tracker.NarrowLinkPieceTime(now) == Milliseconds(300));
   }
   SUBCASE("expired samples say nothing about the link")
   {
--- a/Source/UnitTests/Core/SwarmTest.cpp
+++ b/Source/UnitTests/Core/SwarmTest.cpp
@@ -219,7 +219,7 @@
   // The instance is the only one that reads the platform, and it has no list of instances yet.
   Fixture f;
   SwarmOptions options;
-  options.shares_crossings = true;
+  options.shares_cross_hall_fetches = true;
   options.origin_hall = "hall";
   f.swarm = std::make_unique<Swarm>(Common::Sha256(*f.manifest), Fetcher{"self", "hall"}, options,
                                     1, &f.shared);
