--- a/Source/Bench/Routing/RoutingGateways.cpp
+++ b/Source/Bench/Routing/RoutingGateways.cpp
@@ -81,7 +81,7 @@
         });
 }
 
-void RoutingWorld::Do(Node& node, const Gateway::TellAgent& tell)
+void RoutingWorld::Do(Node& node, const Gateway::ReportWorkToAgent& tell)
 {
   const auto place = std::ranges::find_if(m_targets, [&](const auto& target)
                                           { return target->listed.address == tell.target; });
--- a/Source/Bench/Routing/RoutingWorld.cpp
+++ b/Source/Bench/Routing/RoutingWorld.cpp
@@ -51,7 +51,7 @@
     route.is_resumable = true;
     route.timeout = DEADLINE;
     route.goal = options.policy == Policy::GatewayWithoutAdmission ? DEADLINE : kind.goal;
-    route.attempts_most = 2;
+    route.max_attempts = 2;
     document->routes.push_back(route);
   }
   document->services = {{SERVICE, 0, options.engine, {{MODEL, 1, 1, options.warm_up}}}};
--- a/Source/Bench/Routing/RoutingWorld.h
+++ b/Source/Bench/Routing/RoutingWorld.h
@@ -137,7 +137,7 @@
   void Do(Node& node, const Gateway::CancelAttempt& cancel);
   void Do(Node& node, const Gateway::Refuse& refuse);
   void Do(Node& node, const Gateway::AbortAnswer& abort);
-  void Do(Node& node, const Gateway::TellAgent& tell);
+  void Do(Node& node, const Gateway::ReportWorkToAgent& tell);
   void ScheduleTick(Node& node);
 
   void StartPass(Target& target);
--- a/Source/Core/Gateway/Gateway.h
+++ b/Source/Core/Gateway/Gateway.h
@@ -60,7 +60,7 @@
   void SetRetryLimits(const RetryLimits& limits);
   void SetSwitchWithin(Common::Milliseconds within) { m_switch_deadlines.SetSwitchWithin(within); }
   // Refuses all new requests from now on, as the process is about to end.
-  void StopTaking() { m_accepts_requests = false; }
+  void StopAccepting() { m_accepts_requests = false; }
 
   void Handle(RequestArrived event, Common::TimePoint now, Actions* actions);
   void Handle(const CallerLeft& event, Common::TimePoint now, Actions* actions);
@@ -119,7 +119,7 @@
   void ReportWork(const TargetId& id, Actions* actions) const;
   // The switch deadlines of the service's model: the versions that requests have to start with, and
   // the time from which on each of them is required.
-  const std::vector<WeightsBound>& SwitchDeadlinesFor(const std::string& service) const;
+  const std::vector<SwitchDeadline>& SwitchDeadlinesFor(const std::string& service) const;
   // The model whose weights the service's targets load; empty for a plain service (without a
   // model).
   const std::string& ModelOf(const std::string& service) const;
--- a/Source/Core/Gateway/GatewayDispatch.cpp
+++ b/Source/Core/Gateway/GatewayDispatch.cpp
@@ -46,7 +46,7 @@
   return NONE;
 }
 
-const std::vector<WeightsBound>& Gateway::SwitchDeadlinesFor(const std::string& service) const
+const std::vector<SwitchDeadline>& Gateway::SwitchDeadlinesFor(const std::string& service) const
 {
   return m_switch_deadlines.DeadlinesOf(ModelOf(service));
 }
@@ -91,7 +91,7 @@
   TargetWish query;
   query.service = tracked.service;
   query.prompt_tokens = tracked.PromptTokens();
-  query.answer_tokens = generation ? generation->answer_tokens_guess : 0;
+  query.answer_tokens = generation ? generation->expected_answer_tokens : 0;
   query.tried = tracked.tried;
   query.weights = SwitchDeadlinesFor(tracked.service);
   return query;
@@ -121,7 +121,7 @@
 void Gateway::ReportWork(const TargetId& id, Actions* actions) const
 {
   if (const auto agent = m_targets.AgentOf(id))
-    actions->push_back(TellAgent{*agent, m_targets.OwnWorkAt(id)});
+    actions->push_back(ReportWorkToAgent{*agent, m_targets.OwnWorkAt(id)});
 }
 
 bool Gateway::TryDispatch(Tracked& tracked, TimePoint now, Actions* actions)
--- a/Source/Core/Gateway/GatewayRetries.cpp
+++ b/Source/Core/Gateway/GatewayRetries.cpp
@@ -24,7 +24,7 @@
 bool Gateway::MayRunAgain(const Tracked& tracked) const
 {
   const bool is_repeatable = tracked.route.repetition == Settings::Repetition::Idempotent;
-  return is_repeatable && tracked.runs < tracked.route.attempts_most;
+  return is_repeatable && tracked.runs < tracked.route.max_attempts;
 }
 
 void Gateway::RetryOrGiveUp(Tracked& tracked, std::string_view reason,
@@ -70,7 +70,7 @@
   // would begin the request with that older version.
   return std::ranges::any_of(
       SwitchDeadlinesFor(tracked.service),
-      [&](const WeightsBound& switch_deadline)
+      [&](const SwitchDeadline& switch_deadline)
       {
         return now >= switch_deadline.due - network_delay && weights < switch_deadline.version &&
                !m_targets.IsTaking(tracked.target, switch_deadline.version, now);
@@ -156,7 +156,7 @@
 {
   // The present target may have begun, or may begin before the cancellation arrives.
   const std::uint32_t runs = tracked.runs + 1;
-  const bool may_move = MayRunAgain(tracked) && runs < tracked.route.attempts_most;
+  const bool may_move = MayRunAgain(tracked) && runs < tracked.route.max_attempts;
   // Without an allowance for a retry the move would end in an error, so the request stays at its
   // target.
   if (!may_move || !QueueOf(tracked.service).retries.Take(now))
--- a/Source/Core/Gateway/Messages.h
+++ b/Source/Core/Gateway/Messages.h
@@ -27,8 +27,8 @@
   std::string model;
   std::uint32_t prompt_tokens = 0;
   // The maximum number of generated tokens, and the number that the caller expects.
-  std::uint32_t answer_tokens_most = 0;
-  std::uint32_t answer_tokens_guess = 0;
+  std::uint32_t max_answer_tokens = 0;
+  std::uint32_t expected_answer_tokens = 0;
 };
 
 // A completely received request of a caller.
@@ -162,12 +162,13 @@
 };
 
 // Reports to the agent beside a target which work this gateway has at the target now.
-struct TellAgent
+struct ReportWorkToAgent
 {
   Common::Address target;
   OwnWork work;
 };
 
-using Action = std::variant<Dispatch, PassAnswer, CancelAttempt, Refuse, AbortAnswer, TellAgent>;
+using Action =
+    std::variant<Dispatch, PassAnswer, CancelAttempt, Refuse, AbortAnswer, ReportWorkToAgent>;
 using Actions = std::vector<Action>;
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/StopPlan.h
+++ b/Source/Core/Gateway/StopPlan.h
@@ -25,14 +25,14 @@
   // `within` is the time between the request to stop and the forced kill of the process.
   explicit StopPlan(Common::Duration within) : m_stop_within(within) {}
 
-  void SetWithin(Common::Duration within) { m_stop_within = within; }
+  void SetStopWithin(Common::Duration within) { m_stop_within = within; }
   // Records the request to stop; a second request changes nothing.
-  void Ask(Common::TimePoint now)
+  void RequestStop(Common::TimePoint now)
   {
     if (!m_stop_requested_at)
       m_stop_requested_at = now;
   }
-  bool IsAsked() const { return m_stop_requested_at.has_value(); }
+  bool IsStopRequested() const { return m_stop_requested_at.has_value(); }
   StopPhase PhaseAt(Common::TimePoint now, std::size_t open_requests) const
   {
     if (!m_stop_requested_at)
--- a/Source/Core/Gateway/TargetChoosing.cpp
+++ b/Source/Core/Gateway/TargetChoosing.cpp
@@ -221,7 +221,7 @@
   const std::uint64_t version = WeightsOf(target);
   const TimePoint latest_start = now + 2 * start + StartMargin(target, now);
   return std::ranges::all_of(query.weights,
-                             [&](const WeightsBound& deadline) {
+                             [&](const SwitchDeadline& deadline) {
                                return version >= deadline.version || latest_start < deadline.due;
                              });
 }
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -25,7 +25,7 @@
 namespace Holdpost::Gateway
 {
 // A version of the weights that every request has to start with from a switch deadline on.
-struct WeightsBound
+struct SwitchDeadline
 {
   std::uint64_t version = 0;
   Common::TimePoint due = Common::TimePoint::max();
@@ -44,7 +44,7 @@
   // Targets to which the request has been sent already.
   std::set<TargetId> tried;
   // Versions of the weights with a switch deadline, in the order of their deadlines.
-  std::vector<WeightsBound> weights;
+  std::vector<SwitchDeadline> weights;
   // How many other requests wait for the service at this gateway.
   std::size_t waiting = 0;
   // The maximum time until the start: a later start is useless.
--- a/Source/Core/Gateway/WeightsBounds.cpp
+++ b/Source/Core/Gateway/WeightsBounds.cpp
@@ -27,9 +27,9 @@
                                                          const Control::KnownVersion& known,
                                                          TimePoint now)
 {
-  std::vector<WeightsBound>& deadlines = m_deadlines[model];
+  std::vector<SwitchDeadline>& deadlines = m_deadlines[model];
   const auto position =
-      std::ranges::lower_bound(deadlines, known.version, {}, &WeightsBound::version);
+      std::ranges::lower_bound(deadlines, known.version, {}, &SwitchDeadline::version);
   const bool is_known = position != deadlines.end() && position->version == known.version;
   if (is_known && !known.since.Replaces(position->since))
     return std::nullopt;
@@ -37,8 +37,8 @@
   LogEvent(Weight::Important, now, "weights.named", "model", model, "version", known.version,
            "newest", deadlines.empty() ? 0 : deadlines.back().version, "known_before", is_known,
            "age_ms", now - known.since.time, "is_assumed", known.since.is_assumed);
-  const WeightsBound switch_deadline{known.version, due, known.since,
-                                     std::max(due, now) + SWEEP_PERIOD};
+  const SwitchDeadline switch_deadline{known.version, due, known.since,
+                                       std::max(due, now) + SWEEP_PERIOD};
   if (is_known)
     *position = switch_deadline;
   else
@@ -48,18 +48,18 @@
   return due;
 }
 
-const std::vector<WeightsBound>& SwitchDeadlines::DeadlinesOf(const std::string& model) const
+const std::vector<SwitchDeadline>& SwitchDeadlines::DeadlinesOf(const std::string& model) const
 {
-  static const std::vector<WeightsBound> NONE;
+  static const std::vector<SwitchDeadline> NONE;
   const auto found = m_deadlines.find(model);
   return found == m_deadlines.end() ? NONE : found->second;
 }
 
-std::optional<WeightsBound> SwitchDeadlines::EarliestReplacing(const std::string& model,
-                                                               std::uint64_t version) const
+std::optional<SwitchDeadline> SwitchDeadlines::EarliestReplacing(const std::string& model,
+                                                                 std::uint64_t version) const
 {
-  std::optional<WeightsBound> first;
-  for (const WeightsBound& switch_deadline : DeadlinesOf(model))
+  std::optional<SwitchDeadline> first;
+  for (const SwitchDeadline& switch_deadline : DeadlinesOf(model))
   {
     if (switch_deadline.version > version && (!first || switch_deadline.due < first->due))
       first = switch_deadline;
@@ -67,14 +67,14 @@
   return first;
 }
 
-Duration SwitchDeadlines::TimeLeft(const WeightsBound& switch_deadline, TimePoint now)
+Duration SwitchDeadlines::TimeLeft(const SwitchDeadline& switch_deadline, TimePoint now)
 {
   return switch_deadline.due + SWITCH_MARGIN - now;
 }
 
 bool SwitchDeadlines::IsOverdue(std::uint64_t version, TimePoint now) const
 {
-  const auto is_overdue = [version, now](const WeightsBound& switch_deadline)
+  const auto is_overdue = [version, now](const SwitchDeadline& switch_deadline)
   { return switch_deadline.version > version && now >= switch_deadline.due; };
   return std::ranges::any_of(m_deadlines, [&](const auto& entry)
                              { return std::ranges::any_of(entry.second, is_overdue); });
@@ -82,7 +82,7 @@
 
 bool SwitchDeadlines::IsAnyDue(TimePoint now) const
 {
-  const auto is_due = [now](const WeightsBound& switch_deadline)
+  const auto is_due = [now](const SwitchDeadline& switch_deadline)
   { return now >= switch_deadline.due - MAX_NETWORK_DELAY && now < switch_deadline.sweep_until; };
   return std::ranges::any_of(m_deadlines, [&](const auto& entry)
                              { return std::ranges::any_of(entry.second, is_due); });
--- a/Source/Core/Gateway/WeightsBounds.h
+++ b/Source/Core/Gateway/WeightsBounds.h
@@ -26,14 +26,14 @@
                                                   const Control::KnownVersion& known,
                                                   Common::TimePoint now);
   // The switch deadlines of the model; the oldest version is first.
-  const std::vector<WeightsBound>& DeadlinesOf(const std::string& model) const;
+  const std::vector<SwitchDeadline>& DeadlinesOf(const std::string& model) const;
   // Of the versions that replace this one, the version with the earliest switch deadline; empty if
   // there is none.
-  std::optional<WeightsBound> EarliestReplacing(const std::string& model,
-                                                std::uint64_t version) const;
+  std::optional<SwitchDeadline> EarliestReplacing(const std::string& model,
+                                                  std::uint64_t version) const;
   // The time until all targets have to use the version; negative after that. The field `due` is a
   // margin earlier than the time at which they have to use it.
-  static Common::Duration TimeLeft(const WeightsBound& switch_deadline, Common::TimePoint now);
+  static Common::Duration TimeLeft(const SwitchDeadline& switch_deadline, Common::TimePoint now);
   // Whether, for any model, the switch deadline of a version newer than this one has passed.
   bool IsOverdue(std::uint64_t version, Common::TimePoint now) const;
   // Whether the gateway has to look for requests that may begin with old weights.
@@ -41,7 +41,7 @@
 
 private:
   Common::Milliseconds m_switch_within;
-  std::map<std::string, std::vector<WeightsBound>> m_deadlines; // by model
+  std::map<std::string, std::vector<SwitchDeadline>> m_deadlines; // by model
 };
 
 // Requests at a target are cancelled before the switch deadline by the network delay to the target,
--- a/Source/Core/Settings/Document.h
+++ b/Source/Core/Settings/Document.h
@@ -52,7 +52,7 @@
   // 0 is the most urgent.
   int priority = 0;
   // Targets that one request may be sent to.
-  std::uint32_t attempts_most = 1;
+  std::uint32_t max_attempts = 1;
 };
 
 // How long a model engine takes; requests that run together share each step.
--- a/Source/Node/GatewayExchanges.cpp
+++ b/Source/Node/GatewayExchanges.cpp
@@ -213,7 +213,7 @@
     exchange.caller->AbortAnswer();
 }
 
-void GatewayNode::Do(const Gateway::TellAgent& tell)
+void GatewayNode::Do(const Gateway::ReportWorkToAgent& tell)
 {
   m_control.SendWorkUpdate(tell.target, tell.work);
 }
--- a/Source/Node/GatewayNode.cpp
+++ b/Source/Node/GatewayNode.cpp
@@ -49,7 +49,7 @@
 
 bool GatewayNode::IsReady() const
 {
-  return !m_stop.IsAsked() && m_core.Version() > 0 && m_control.HasTargets();
+  return !m_stop.IsStopRequested() && m_core.Version() > 0 && m_control.HasTargets();
 }
 
 bool GatewayNode::Listen()
@@ -187,14 +187,14 @@
   m_core.SetRetryLimits(fresh.retries);
   m_core.SetSwitchWithin(fresh.mesh.switch_within);
   m_control.SetConfig(m_config.mesh);
-  m_stop.SetWithin(fresh.mesh.stop_within);
+  m_stop.SetStopWithin(fresh.mesh.stop_within);
 }
 
 void GatewayNode::HandleStopSignal()
 {
   const TimePoint now = EventLoop::Now();
   LogEvent(Weight::Important, now, "stop.asked", "open_requests", m_core.OpenRequests());
-  m_stop.Ask(now);
+  m_stop.RequestStop(now);
   CheckStop();
 }
 
@@ -205,7 +205,7 @@
   if (phase == StopPhase::Serving)
     return;
   if (phase != StopPhase::Leaving)
-    m_core.StopTaking();
+    m_core.StopAccepting();
   for (const auto& [raw, caller] : std::map(m_callers))
   {
     // Callers are told of the end with their answer; idle connections go once no new ones come.
--- a/Source/Node/GatewayNode.h
+++ b/Source/Node/GatewayNode.h
@@ -67,7 +67,7 @@
   void Do(const Gateway::CancelAttempt& cancel);
   void Do(const Gateway::Refuse& refuse);
   void Do(const Gateway::AbortAnswer& abort);
-  void Do(const Gateway::TellAgent& tell);
+  void Do(const Gateway::ReportWorkToAgent& tell);
   // The exchange, given up: the caller may send its next request.
   Exchange Take(Gateway::RequestNumber number);
 
--- a/Source/Peers/Target/TargetMessage.cpp
+++ b/Source/Peers/Target/TargetMessage.cpp
@@ -32,9 +32,9 @@
   hint.model = *model;
   hint.prompt_tokens = ReadNumber(*counts);
   if (const std::size_t comma = counts->find(','); comma != std::string::npos)
-    hint.answer_tokens_most = ReadNumber(std::string_view(*counts).substr(comma + 1));
-  hint.answer_tokens_guess = static_cast<std::uint32_t>(
-      head.fields.FindNumber(names.length_hint).value_or(hint.answer_tokens_most));
+    hint.max_answer_tokens = ReadNumber(std::string_view(*counts).substr(comma + 1));
+  hint.expected_answer_tokens = static_cast<std::uint32_t>(
+      head.fields.FindNumber(names.length_hint).value_or(hint.max_answer_tokens));
   return hint;
 }
 
--- a/Source/UnitTests/Core/Gateway/GatewayTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayTest.cpp
@@ -52,7 +52,7 @@
   SUBCASE("new requests are refused with a time to retry once the process is about to end")
   {
     const RequestNumber before = f.Arrive("/chat/");
-    f.gateway.StopTaking();
+    f.gateway.StopAccepting();
     Take<Dispatch>(f.actions);
     f.Arrive("/chat/");
     const auto refused = Take<Refuse>(f.actions);
@@ -278,30 +278,30 @@
   const auto number = f.Arrive("/chat/");
   const auto sent = Testing::Only<Dispatch>(f.actions);
   REQUIRE(sent.size() == 1);
-  auto reports = Take<TellAgent>(f.actions);
+  auto reports = Take<ReportWorkToAgent>(f.actions);
   REQUIRE(reports.size() == 1);
   CHECK(reports[0].target == sent[0].address);
   CHECK(reports[0].work == OwnWork{1, 1000});
   f.Feed(f.Began(number));
-  reports = Take<TellAgent>(f.actions);
+  reports = Take<ReportWorkToAgent>(f.actions);
   REQUIRE(reports.size() == 1);
   CHECK(reports[0].work == OwnWork{1, 0});
   f.Feed(AnswerEnded{number});
-  reports = Take<TellAgent>(f.actions);
+  reports = Take<ReportWorkToAgent>(f.actions);
   REQUIRE(reports.size() == 1);
   CHECK(reports[0].work == OwnWork{});
 
   SUBCASE("nothing is reported for services without agents")
   {
     f.Arrive("/status/");
-    CHECK(Take<TellAgent>(f.actions).empty());
+    CHECK(Take<ReportWorkToAgent>(f.actions).empty());
   }
   SUBCASE("a report is sent when the caller leaves")
   {
     const auto other = f.Arrive("/chat/");
     f.actions.clear();
     f.Feed(CallerLeft{other});
-    reports = Take<TellAgent>(f.actions);
+    reports = Take<ReportWorkToAgent>(f.actions);
     REQUIRE(reports.size() == 1);
     CHECK(reports[0].work == OwnWork{});
   }
--- a/Source/UnitTests/Core/Gateway/StopPlanTest.cpp
+++ b/Source/UnitTests/Core/Gateway/StopPlanTest.cpp
@@ -16,7 +16,7 @@
 {
   StopPlan plan(Milliseconds(8000));
   CHECK(plan.PhaseAt(START, 3) == StopPhase::Serving);
-  plan.Ask(START);
+  plan.RequestStop(START);
 
   SUBCASE("still serves new requests until callers have seen that the ready check fails")
   {
@@ -38,7 +38,7 @@
   }
   SUBCASE("is not delayed by a second request to stop")
   {
-    plan.Ask(START + Milliseconds(2000));
+    plan.RequestStop(START + Milliseconds(2000));
     CHECK(plan.PhaseAt(START + Milliseconds(2850), 1) == StopPhase::Draining);
   }
 }
--- a/Source/UnitTests/Peers/TargetMessageTest.cpp
+++ b/Source/UnitTests/Peers/TargetMessageTest.cpp
@@ -40,8 +40,8 @@
   CHECK(request.deadline == Common::Milliseconds(5000));
   REQUIRE(request.generation.has_value());
   CHECK(request.generation->prompt_tokens == 1460);
-  CHECK(request.generation->answer_tokens_most == 80);
-  CHECK(request.generation->answer_tokens_guess == 60);
+  CHECK(request.generation->max_answer_tokens == 80);
+  CHECK(request.generation->expected_answer_tokens == 60);
 }
 
 TEST_CASE("The target gets the caller's fields and the gateway's own")
