--- a/Source/Core/Sidecar/EngineMessages.h
+++ b/Source/Core/Sidecar/EngineMessages.h
@@ -65,7 +65,7 @@
 };
 
 // Orders the engine to load the staged weights once its running requests have ended.
-struct StartWeights
+struct LoadStagedWeights
 {
   std::string model;
   std::uint64_t version = 0;
@@ -107,7 +107,7 @@
 };
 
 // The engine may have accepted an order even if no answer to it arrived.
-struct StartAnswered
+struct LoadAnswered
 {
   std::uint64_t version = 0;
   Common::Result<std::monostate> result;
--- a/Source/Core/Sidecar/Sidecar.cpp
+++ b/Source/Core/Sidecar/Sidecar.cpp
@@ -205,7 +205,7 @@
           {
             // The cancellation also confirms that this sidecar has received the piece.
             if (const auto peer = m_peer_fetches.extract(received.id))
-              actions->push_back(Tell{peer.mapped(), Mesh::PieceCancel{received.id}, false});
+              actions->push_back(SendMessage{peer.mapped(), Mesh::PieceCancel{received.id}, false});
             m_exchange.OnFetched(received.id, received.result, now, &new_actions);
           },
           [](const auto&) {}},
@@ -244,7 +244,7 @@
   (void)actions;
 }
 
-void Sidecar::OnPeerBroken(const Address& peer, TimePoint now, Actions* actions)
+void Sidecar::OnPeerDisconnected(const Address& peer, TimePoint now, Actions* actions)
 {
   Distribution::Actions new_actions;
   m_exchange.OnPeerLost(peer.ToString(), now, &new_actions);
@@ -268,21 +268,21 @@
               }
               const auto address = Common::ParseAddress(fetch.peer);
               m_peer_fetches[fetch.id] = *address;
-              actions->push_back(
-                  Tell{*address, Mesh::PieceRequest{fetch.id, fetch.version, fetch.piece}, false});
+              actions->push_back(SendMessage{
+                  *address, Mesh::PieceRequest{fetch.id, fetch.version, fetch.piece}, false});
             },
             [&](Distribution::CancelFetch& cancel)
             {
               if (m_origin_fetches.erase(cancel.id) > 0)
                 actions->push_back(CancelOriginFetch{cancel.id});
               else if (const auto peer = m_peer_fetches.extract(cancel.id))
-                actions->push_back(Tell{peer.mapped(), Mesh::PieceCancel{cancel.id}, false});
+                actions->push_back(SendMessage{peer.mapped(), Mesh::PieceCancel{cancel.id}, false});
             },
             [&](Distribution::SendAnnouncement& send)
             {
               if (const auto address = Common::ParseAddress(send.peer))
                 actions->push_back(
-                    Tell{*address, Mesh::Announce{std::move(send.announcement)}, false});
+                    SendMessage{*address, Mesh::Announce{std::move(send.announcement)}, false});
             },
             [&](Distribution::AnswerPiece& answer)
             {
@@ -290,7 +290,7 @@
               if (found_request == m_piece_requests.end())
                 return;
               const bool is_refused = !Common::Succeeded(answer.result);
-              actions->push_back(Tell{
+              actions->push_back(SendMessage{
                   found_request->second.from,
                   Mesh::PieceReply{found_request->second.id, std::move(answer.result)}, false});
               if (is_refused)
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -60,15 +60,15 @@
 };
 
 // Sends a message to a peer or gateway. A message with `is_small` set may be lost.
-struct Tell
+struct SendMessage
 {
   Common::Address to;
   Mesh::Message message;
-  bool is_small = true;
+  bool may_be_lost = true;
 };
 
 using Action = std::variant<ReadReport, ReadIdentity, ListStaged, ReadStaged, StagePiece,
-                            StartWeights, FetchFromOrigin, CancelOriginFetch, Tell>;
+                            LoadStagedWeights, FetchFromOrigin, CancelOriginFetch, SendMessage>;
 using Actions = std::vector<Action>;
 
 class Sidecar
@@ -81,11 +81,11 @@
   void Handle(const StagedListed& event, Common::TimePoint now, Actions* actions);
   void Handle(const StagedRead& event, Common::TimePoint now, Actions* actions);
   void Handle(const PieceStaged& event, Common::TimePoint now, Actions* actions);
-  void Handle(const StartAnswered& event, Common::TimePoint now, Actions* actions);
+  void Handle(const LoadAnswered& event, Common::TimePoint now, Actions* actions);
   void Handle(const OriginFetched& event, Common::TimePoint now, Actions* actions);
   void OnMessage(const Mesh::Sender& from, const Mesh::Message& message, Common::TimePoint now,
                  Actions* actions);
-  void OnPeerBroken(const Common::Address& peer, Common::TimePoint now, Actions* actions);
+  void OnPeerDisconnected(const Common::Address& peer, Common::TimePoint now, Actions* actions);
   // Plan, weights and peers that the platform sends when the sidecar asks it directly.
   void OnPlan(const Mesh::WeightsPlan& plan, Common::TimePoint now);
   void OnWeights(const Control::NamedWeights& named, const Control::KnownSince& since);
@@ -99,14 +99,14 @@
   Common::TimePoint NextWakeup(Common::TimePoint now) const;
   // Whether no gateway of the hall has sent a message for a while, so that the sidecar has to ask
   // the platform.
-  bool IsAlone(Common::TimePoint now) const;
+  bool IsIsolated(Common::TimePoint now) const;
   // The model that the plan names, and its named versions with the time since which each is known;
   // the model is empty until a plan is known.
   const std::string& Model() const { return m_plan.model; }
   const std::map<std::uint64_t, Control::KnownSince>& NamedVersions() const { return m_named; }
   // The time up to which gateways of the hall have reported all named versions; empty if they have
   // never done so.
-  const std::optional<Common::TimePoint>& ToldVersionsUntil() const
+  const std::optional<Common::TimePoint>& VersionsReportedUntil() const
   {
     return m_versions_reported_until;
   }
--- a/Source/Core/Sidecar/SidecarEngine.cpp
+++ b/Source/Core/Sidecar/SidecarEngine.cpp
@@ -130,7 +130,7 @@
   OnTick(now, actions);
 }
 
-void Sidecar::Handle(const StartAnswered& event, TimePoint now, Actions* actions)
+void Sidecar::Handle(const LoadAnswered& event, TimePoint now, Actions* actions)
 {
   m_loader.OnAnswered(event, now);
   m_report_due = now;
--- a/Source/Core/Sidecar/SidecarGateways.cpp
+++ b/Source/Core/Sidecar/SidecarGateways.cpp
@@ -57,7 +57,7 @@
   }
 }
 
-bool Sidecar::IsAlone(TimePoint now) const
+bool Sidecar::IsIsolated(TimePoint now) const
 {
   // After the sidecar starts, gateways have the same time to send their first message.
   if (!m_started_at || now - *m_started_at < ISOLATION_TIMEOUT)
@@ -75,7 +75,7 @@
 void Sidecar::SearchGateways(TimePoint now, Actions* actions)
 {
   for (const Address& seed : m_search.OnTick(HasPlan() && HasSeenGateway(SEARCH_TIMEOUT, now), now))
-    actions->push_back(Tell{seed, Mesh::GatewaysRequest{false}, true});
+    actions->push_back(SendMessage{seed, Mesh::GatewaysRequest{false}, true});
 }
 
 void Sidecar::RequestBriefings(const std::vector<Address>& gateways, Actions* actions)
@@ -86,7 +86,7 @@
   for (std::size_t i = 0; i < std::min(gateways.size(), MAX_BRIEFING_REQUESTS); ++i)
   {
     const Address& gateway = gateways[(first + i) % gateways.size()];
-    actions->push_back(Tell{gateway, Mesh::BriefingRequest{}, true});
+    actions->push_back(SendMessage{gateway, Mesh::BriefingRequest{}, true});
   }
 }
 } // namespace Holdpost::Sidecar
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -184,7 +184,7 @@
     }
     report.echo = gateway.clock;
     report.echo_age = std::chrono::duration_cast<Milliseconds>(now - gateway.last_hello);
-    actions->push_back(Tell{address, report, true});
+    actions->push_back(SendMessage{address, report, true});
   }
   m_load_due.reset();
 }
--- a/Source/Core/Sidecar/WeightsLoader.cpp
+++ b/Source/Core/Sidecar/WeightsLoader.cpp
@@ -27,7 +27,7 @@
   LogEvent(Weight::Important, now, "switch.begun", "model", model, "version", version);
 }
 
-std::optional<StartWeights> WeightsLoader::OnTick(TimePoint now)
+std::optional<LoadStagedWeights> WeightsLoader::OnTick(TimePoint now)
 {
   if (m_state != LoaderState::Announced || now - m_since < ANNOUNCEMENT_LEAD_TIME)
     return std::nullopt;
@@ -36,10 +36,10 @@
   m_is_unanswered = false;
   // The engine's order count is also used as the fencing token. It never decreases during one
   // incarnation, and a new incarnation forgets the tokens.
-  return StartWeights{m_model, m_version, m_orders_seen, m_orders_seen};
+  return LoadStagedWeights{m_model, m_version, m_orders_seen, m_orders_seen};
 }
 
-void WeightsLoader::OnAnswered(const StartAnswered& answered, TimePoint now)
+void WeightsLoader::OnAnswered(const LoadAnswered& answered, TimePoint now)
 {
   if (m_state != LoaderState::Ordered || answered.version != m_version)
     return;
--- a/Source/Core/Sidecar/WeightsLoader.h
+++ b/Source/Core/Sidecar/WeightsLoader.h
@@ -33,8 +33,8 @@
   // failed order.
   void Begin(const std::string& model, std::uint64_t version, Common::TimePoint now);
   // The order that is due at this time, if any.
-  std::optional<StartWeights> OnTick(Common::TimePoint now);
-  void OnAnswered(const StartAnswered& answered, Common::TimePoint now);
+  std::optional<LoadStagedWeights> OnTick(Common::TimePoint now);
+  void OnAnswered(const LoadAnswered& answered, Common::TimePoint now);
   void OnReport(const EngineReport& report, Common::TimePoint now);
   // The engine is unreachable or has restarted; a load that it had started is lost.
   void OnEngineLost();
--- a/Source/Node/SidecarNode.cpp
+++ b/Source/Node/SidecarNode.cpp
@@ -38,7 +38,7 @@
                     [this](const Address& peer)
                     {
                       Sidecar::Actions actions;
-                      m_core->OnPeerBroken(peer, EventLoop::Now(), &actions);
+                      m_core->OnPeerDisconnected(peer, EventLoop::Now(), &actions);
                       Carry(actions);
                     }}),
       m_follower(
@@ -177,11 +177,11 @@
                       });
 }
 
-void SidecarNode::Do(const Sidecar::StartWeights& start)
+void SidecarNode::Do(const Sidecar::LoadStagedWeights& start)
 {
   m_engine.Start(start,
                  [this, version = start.version](Result<std::monostate> result) {
-                   Feed(Sidecar::StartAnswered{version, std::move(result)});
+                   Feed(Sidecar::LoadAnswered{version, std::move(result)});
                  });
 }
 
@@ -203,9 +203,9 @@
     m_engine.CancelFetch(call.mapped());
 }
 
-void SidecarNode::Do(const Sidecar::Tell& tell)
+void SidecarNode::Do(const Sidecar::SendMessage& tell)
 {
-  if (tell.is_small)
+  if (tell.may_be_lost)
     m_mesh.SendDatagram(tell.to, tell.message);
   else
     m_mesh.Send(tell.to, tell.message);
@@ -216,12 +216,12 @@
   const TimePoint now = EventLoop::Now();
   m_follower.Begin(now);
   // Gateways of the hall tell what is needed; without them the platform is asked directly.
-  if (!m_core->IsAlone(now))
+  if (!m_core->IsIsolated(now))
     return;
   // What the platform tells is compared with what gateways have told.
   for (const auto& [version, since] : m_core->NamedVersions())
     m_follower.OfferWeights({m_core->Model(), version}, since);
-  if (const auto& told = m_core->ToldVersionsUntil())
+  if (const auto& told = m_core->VersionsReportedUntil())
     m_follower.OnAllVersionsAnnounced(*told);
   Control::Actions actions;
   m_follower.OnTick(now, &actions);
--- a/Source/Node/SidecarNode.h
+++ b/Source/Node/SidecarNode.h
@@ -42,10 +42,10 @@
   void Do(const Sidecar::ListStaged& list);
   void Do(const Sidecar::ReadStaged& read);
   void Do(const Sidecar::StagePiece& stage);
-  void Do(const Sidecar::StartWeights& start);
+  void Do(const Sidecar::LoadStagedWeights& start);
   void Do(const Sidecar::FetchFromOrigin& fetch);
   void Do(const Sidecar::CancelOriginFetch& cancel);
-  void Do(const Sidecar::Tell& tell);
+  void Do(const Sidecar::SendMessage& tell);
   void FollowControl();
   void ApplyControl();
   // Takes over changed settings; bad ones change nothing.
--- a/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
@@ -58,7 +58,7 @@
   std::map<Address, Gateway::TargetLoad> Reports()
   {
     std::map<Address, Gateway::TargetLoad> reports;
-    for (const Tell& send : Take<Tell>(actions))
+    for (const SendMessage& send : Take<SendMessage>(actions))
       reports[send.to] = std::get<Mesh::LoadReport>(send.message).load;
     return reports;
   }
@@ -159,7 +159,7 @@
     f.now += Milliseconds(100);
     f.ReadReport(2, 0);
     std::uint32_t gateways = 0;
-    for (const Tell& send : Take<Tell>(f.actions))
+    for (const SendMessage& send : Take<SendMessage>(f.actions))
       gateways = std::get<Mesh::LoadReport>(send.message).gateways;
     return gateways;
   };
@@ -188,7 +188,7 @@
   f.actions.clear();
   f.now += Milliseconds(100);
   f.ReadReport(2, 0);
-  const auto reports = Take<Tell>(f.actions);
+  const auto reports = Take<SendMessage>(f.actions);
   REQUIRE(!reports.empty());
   CHECK(std::get<Mesh::LoadReport>(reports[0].message).stamp == Mesh::BriefingStamp{7, 50});
 }
@@ -229,7 +229,7 @@
   f.now += Milliseconds(300);
   f.AnnounceWork(LOCAL_GATEWAY, 1, 1200);
   std::optional<Milliseconds> round_trip;
-  for (const Tell& send : Take<Tell>(f.actions))
+  for (const SendMessage& send : Take<SendMessage>(f.actions))
   {
     if (send.to == LOCAL_GATEWAY.address)
       round_trip = Mesh::RoundTrip(std::get<Mesh::LoadReport>(send.message), f.now);
--- a/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
@@ -31,7 +31,7 @@
   std::vector<Address> ReceiversOf()
   {
     std::vector<Address> receivers;
-    for (const Tell& send : Take<Tell>(actions))
+    for (const SendMessage& send : Take<SendMessage>(actions))
     {
       if (std::holds_alternative<Message>(send.message))
         receivers.push_back(send.to);
@@ -79,8 +79,8 @@
   {
     fixture.Tick(Milliseconds(250));
     CHECK(fixture.ReceiversOf<Mesh::GatewaysRequest>().size() == 1);
-    CHECK_FALSE(fixture.sidecar.IsAlone(START + Milliseconds(1400)));
-    CHECK(fixture.sidecar.IsAlone(START + Milliseconds(1600)));
+    CHECK_FALSE(fixture.sidecar.IsIsolated(START + Milliseconds(1400)));
+    CHECK(fixture.sidecar.IsIsolated(START + Milliseconds(1600)));
   }
   SUBCASE("and asks again when a gateway sends a hello without a plan")
   {
@@ -100,11 +100,11 @@
   hello.is_gateway = true;
   hello.weights = {{{"m", 3}, Milliseconds(30000)}};
   fixture.Receive(hello);
-  CHECK_FALSE(fixture.sidecar.ToldVersionsUntil().has_value());
+  CHECK_FALSE(fixture.sidecar.VersionsReportedUntil().has_value());
   // The sidecar takes the plan from the platform, which does not report when the version was named.
   fixture.sidecar.OnPlan(PLAN, fixture.now);
   Mesh::Hello hello_with_plan = hello;
   hello_with_plan.plan = PLAN;
   fixture.Receive(hello_with_plan);
-  CHECK(fixture.sidecar.ToldVersionsUntil() == fixture.now);
+  CHECK(fixture.sidecar.VersionsReportedUntil() == fixture.now);
 }
--- a/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
@@ -48,7 +48,7 @@
     Gateway::TargetId id;
     now += Milliseconds(100);
     sidecar.Handle(ReportRead{EngineReport{incarnation, 1}}, now, &actions);
-    for (const Tell& send : Take<Tell>(actions))
+    for (const SendMessage& send : Take<SendMessage>(actions))
     {
       if (const auto* report = std::get_if<Mesh::LoadReport>(&send.message))
         id = report->load.id;
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
@@ -311,7 +311,7 @@
            });
 }
 
-void SidecarWorld::Execute(std::size_t node, const Sidecar::StartWeights& start)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::LoadStagedWeights& start)
 {
   Node& self = m_nodes[node];
   for (std::uint32_t piece = 0; piece < m_options.pieces; ++piece)
@@ -333,7 +333,7 @@
            [this, node, version = start.version, incarnation = self.incarnation]
            {
              if (m_nodes[node].incarnation == incarnation)
-               Deliver(node, Sidecar::StartAnswered{version, std::monostate()});
+               Deliver(node, Sidecar::LoadAnswered{version, std::monostate()});
            });
 }
 
@@ -419,7 +419,7 @@
 
 void SidecarWorld::Execute(std::size_t /*node*/, const Sidecar::CancelOriginFetch& /*cancel*/) {}
 
-void SidecarWorld::Execute(std::size_t node, const Sidecar::Tell& send)
+void SidecarWorld::Execute(std::size_t node, const Sidecar::SendMessage& send)
 {
   const auto found = m_by_address.find(send.to);
   if (found == m_by_address.end())
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.h
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.h
@@ -153,10 +153,10 @@
   void Execute(std::size_t node, const Sidecar::ListStaged& list);
   void Execute(std::size_t node, const Sidecar::ReadStaged& read);
   void Execute(std::size_t node, const Sidecar::StagePiece& stage);
-  void Execute(std::size_t node, const Sidecar::StartWeights& start);
+  void Execute(std::size_t node, const Sidecar::LoadStagedWeights& start);
   void Execute(std::size_t node, const Sidecar::FetchFromOrigin& fetch);
   void Execute(std::size_t node, const Sidecar::CancelOriginFetch& cancel);
-  void Execute(std::size_t node, const Sidecar::Tell& send);
+  void Execute(std::size_t node, const Sidecar::SendMessage& send);
   std::unique_ptr<QueueLink> MakeLink();
   // Sends bytes over both links; `done` runs when the last byte has arrived.
   void Transfer(std::uint64_t connection, QueueLink& from, QueueLink& to, std::size_t bytes,
