--- a/Source/Bench/Routing/RoutingGateways.cpp
+++ b/Source/Bench/Routing/RoutingGateways.cpp
@@ -89,7 +89,7 @@
   After(Way(node.hall, target->listed.hall),
         [this, &node, target, work = tell.work]
         {
-          const Gateway::OwnWork before = std::exchange(target->work[&node], work);
+          const Gateway::GatewayWork before = std::exchange(target->work[&node], work);
           if (work.requests <= before.requests || target->tells_soon)
             return;
           target->tells_soon = true;
--- a/Source/Bench/Routing/RoutingTargets.cpp
+++ b/Source/Bench/Routing/RoutingTargets.cpp
@@ -136,11 +136,11 @@
       continue;
     if (!is_near && !(*core)->Targets().NeedsOtherHalls(m_now))
       continue;
-    const Gateway::OwnDemand demand = (*core)->Targets().DemandHere(m_now);
-    (is_near ? all.near_per_second : all.far_per_second) += demand.arrivals_per_second;
+    const Gateway::DemandReport demand = (*core)->Targets().CurrentDemand(m_now);
+    (is_near ? all.same_hall_per_second : all.other_halls_per_second) += demand.arrivals_per_second;
     refused += demand.arrivals_per_second * demand.refused_share;
   }
-  if (const double arrivals = all.near_per_second + all.far_per_second; arrivals > 0)
+  if (const double arrivals = all.same_hall_per_second + all.other_halls_per_second; arrivals > 0)
     all.refused_share = refused / arrivals;
   return all;
 }
--- a/Source/Bench/Routing/RoutingWorldParts.h
+++ b/Source/Bench/Routing/RoutingWorldParts.h
@@ -47,7 +47,7 @@
   bool is_switching = false;
   std::map<const Node*, Common::TimePoint> told;
   // What gateways told of, and when all were last told.
-  std::map<const Node*, Gateway::OwnWork> work;
+  std::map<const Node*, Gateway::GatewayWork> work;
   Common::TimePoint last_told{};
   bool tells_soon = false;
 };
--- a/Source/Core/Gateway/DemandWatch.cpp
+++ b/Source/Core/Gateway/DemandWatch.cpp
@@ -76,11 +76,11 @@
 {
   const Service* tracked = Find(service);
   if (tracked && now - tracked->reported_at <= REPORT_LIFETIME &&
-      tracked->reported.near_per_second > 0)
+      tracked->reported.same_hall_per_second > 0)
     return tracked->reported;
   // Without reports, each other gateway is assumed to have as many arrivals as this one.
   const double local_arrivals = ArrivalsPerSecond(service, now);
-  return {local_arrivals * static_cast<double>(gateways.near),
+  return {local_arrivals * static_cast<double>(gateways.same_hall),
           local_arrivals * static_cast<double>(gateways.OtherHallGatewaysPerTarget()),
           RefusedShare(service, now)};
 }
--- a/Source/Core/Gateway/Gateway.cpp
+++ b/Source/Core/Gateway/Gateway.cpp
@@ -81,7 +81,7 @@
 
 void Gateway::OnTargetLoad(const TargetLoad& load, TimePoint now, Actions* actions)
 {
-  m_targets.OnLoad(load, now);
+  m_targets.OnLoadReport(load, now);
   MoveFromReportedTarget(load, now, actions);
   DispatchAllWaiting(now, actions);
 }
@@ -98,7 +98,7 @@
   if (gateways == m_gateways)
     return;
   LogEvent(Weight::Important, now, "gateways.counted", "count", gateways.all, "before",
-           m_gateways.all, "near", gateways.near);
+           m_gateways.all, "near", gateways.same_hall);
   m_gateways = gateways;
   m_targets.SetGateways(gateways);
   for (auto& [service, queue] : m_queues)
@@ -181,7 +181,7 @@
   if (!waiting || waiting->state != State::Waiting)
     return;
   Tracked& tracked = *waiting;
-  const TargetSurvey survey = m_targets.SurveyOf(QueryFor(tracked), now);
+  const TargetSummary survey = m_targets.SummaryOf(QueryFor(tracked), now);
   const Duration wait = MaxWait(survey, WaitingCountOf(tracked.service),
                                 m_targets.PassTimeOf(tracked.service), StartGoal(tracked));
   tracked.refuse_at = std::min(tracked.deadline, now + wait);
@@ -334,7 +334,7 @@
       return GiveUp(tracked, {ErrorKind::Unreachable, "no target could run it again"}, now,
                     actions);
     }
-    const ErrorKind reason = RefusalReason(m_targets.SurveyOf(QueryFor(tracked), now));
+    const ErrorKind reason = RefusalReason(m_targets.SummaryOf(QueryFor(tracked), now));
     return GiveUp(tracked, {reason, "no target can begin it in time"}, now, actions);
   }
   if (now < tracked.deadline)
--- a/Source/Core/Gateway/Gateway.h
+++ b/Source/Core/Gateway/Gateway.h
@@ -99,9 +99,9 @@
   void EnqueueNotRun(Tracked& request, bool is_retry, Common::TimePoint now, Actions* actions);
   void DispatchWaiting(const std::string& service, Common::TimePoint now, Actions* actions);
   void DispatchAllWaiting(Common::TimePoint now, Actions* actions);
-  TargetWish QueryFor(const Tracked& tracked) const;
+  TargetQuery QueryFor(const Tracked& tracked) const;
   // The query of a request that is sent only if it can begin in time.
-  TargetWish InTimeQueryFor(const Tracked& tracked, Common::TimePoint now) const;
+  TargetQuery InTimeQueryFor(const Tracked& tracked, Common::TimePoint now) const;
   std::size_t WaitingCountOf(const std::string& service) const;
   // The maximum time from the caller's first attempt to the expected start of a request with which
   // the goal of its route can be met.
--- a/Source/Core/Gateway/GatewayDispatch.cpp
+++ b/Source/Core/Gateway/GatewayDispatch.cpp
@@ -85,10 +85,10 @@
   return std::max(StartGoal(tracked) - (now - tracked.first_attempt_at), Duration(1));
 }
 
-TargetWish Gateway::QueryFor(const Tracked& tracked) const
+TargetQuery Gateway::QueryFor(const Tracked& tracked) const
 {
   const std::optional<GenerationHint>& generation = tracked.request.generation;
-  TargetWish query;
+  TargetQuery query;
   query.service = tracked.service;
   query.prompt_tokens = tracked.PromptTokens();
   query.answer_tokens = generation ? generation->expected_answer_tokens : 0;
@@ -108,25 +108,25 @@
   return count;
 }
 
-TargetWish Gateway::InTimeQueryFor(const Tracked& tracked, TimePoint now) const
+TargetQuery Gateway::InTimeQueryFor(const Tracked& tracked, TimePoint now) const
 {
-  TargetWish query = QueryFor(tracked);
+  TargetQuery query = QueryFor(tracked);
   query.waiting = WaitingCountOf(tracked.service);
   const bool may_be_refused = tracked.runs == 0 && !tracked.was_head_passed;
   if (may_be_refused)
-    query.start_most = MaxStartDelay(tracked, now);
+    query.max_start = MaxStartDelay(tracked, now);
   return query;
 }
 
 void Gateway::ReportWork(const TargetId& id, Actions* actions) const
 {
   if (const auto agent = m_targets.AgentOf(id))
-    actions->push_back(ReportWorkToAgent{*agent, m_targets.OwnWorkAt(id)});
+    actions->push_back(ReportWorkToAgent{*agent, m_targets.WorkAt(id)});
 }
 
 bool Gateway::TryDispatch(Tracked& tracked, TimePoint now, Actions* actions)
 {
-  const TargetWish query = InTimeQueryFor(tracked, now);
+  const TargetQuery query = InTimeQueryFor(tracked, now);
   const auto choice = m_targets.Choose(query, now);
   if (!choice || !IsWorthSending(tracked, *choice, now))
     return false;
--- a/Source/Core/Gateway/GatewayRefusals.cpp
+++ b/Source/Core/Gateway/GatewayRefusals.cpp
@@ -32,7 +32,7 @@
 // were refused together would retry together.
 Milliseconds Gateway::RetryAfterFor(const Tracked& tracked) const
 {
-  const Duration turnover = m_targets.TurnoverOf(tracked.service);
+  const Duration turnover = m_targets.TurnoverTimeOf(tracked.service);
   const double spread = static_cast<double>(Common::StableHash(tracked.request.id) % 1000) / 1000;
   const auto wait = std::chrono::duration_cast<Milliseconds>(RETRY_AFTER_TURNOVER_SHARE * turnover);
   const auto spread_wait = std::chrono::duration_cast<Milliseconds>(spread * wait);
@@ -42,11 +42,11 @@
 // Describes the service as a new request of the same kind would find it now.
 ServiceView Gateway::ViewOf(const Tracked& tracked, TimePoint now) const
 {
-  TargetWish query = QueryFor(tracked);
-  query.start_most = StartGoal(tracked);
+  TargetQuery query = QueryFor(tracked);
+  query.max_start = StartGoal(tracked);
   query.waiting = WaitingCountOf(tracked.service);
-  return {m_targets.Utilization(tracked.service, now), m_targets.RoomFor(query, now),
-          m_targets.SurveyOf(query, now), Version()};
+  return {m_targets.Utilization(tracked.service, now), m_targets.CapacityFor(query, now),
+          m_targets.SummaryOf(query, now), Version()};
 }
 
 void Gateway::GiveUp(Tracked& tracked, Error error, TimePoint now, Actions* actions)
--- a/Source/Core/Gateway/GatewayRetries.cpp
+++ b/Source/Core/Gateway/GatewayRetries.cpp
@@ -65,7 +65,8 @@
 {
   const std::uint64_t weights = m_targets.WeightsAt(tracked.target);
   // The cancellation has to reach the target before the switch deadline.
-  const Duration network_delay = std::min(m_targets.WayTo(tracked.target), MAX_NETWORK_DELAY);
+  const Duration network_delay =
+      std::min(m_targets.NetworkDelayTo(tracked.target), MAX_NETWORK_DELAY);
   // The switch only helps if the target switches to a version that is new enough; otherwise it
   // would begin the request with that older version.
   return std::ranges::any_of(
@@ -73,7 +74,7 @@
       [&](const SwitchDeadline& switch_deadline)
       {
         return now >= switch_deadline.due - network_delay && weights < switch_deadline.version &&
-               !m_targets.IsTaking(tracked.target, switch_deadline.version, now);
+               !m_targets.IsSwitchingTo(tracked.target, switch_deadline.version, now);
       });
 }
 
@@ -126,7 +127,7 @@
 
 void Gateway::CancelIfNotSwitching(const TargetId& target, TimePoint now, Actions* actions)
 {
-  if (m_targets.OwnWorkAt(target).requests == 0 ||
+  if (m_targets.WorkAt(target).requests == 0 ||
       !m_switch_deadlines.IsOverdue(m_targets.WeightsAt(target), now))
     return;
   const auto may_start_with_old_weights = [&](const Tracked& tracked)
--- a/Source/Core/Gateway/Messages.h
+++ b/Source/Core/Gateway/Messages.h
@@ -165,7 +165,7 @@
 struct ReportWorkToAgent
 {
   Common::Address target;
-  OwnWork work;
+  GatewayWork work;
 };
 
 using Action =
--- a/Source/Core/Gateway/RequestLog.cpp
+++ b/Source/Core/Gateway/RequestLog.cpp
@@ -150,11 +150,12 @@
       tracked.request.deadline.value_or(Milliseconds(-1)), "runs", tracked.runs, "utilization",
       view.utilization, "best_expected_ms", view.capacity.best_start, "goal_ms", tracked.route.goal,
       "admitted_part", view.capacity.admitted_part, "arrivals_per_second",
-      view.capacity.demand.near_per_second + view.capacity.demand.far_per_second, "refused_share",
-      view.capacity.demand.refused_share, "settings", view.settings, "targets", view.targets.listed,
-      "open", view.targets.open, "leaving", view.targets.leaving, "avoided", view.targets.avoided,
-      "switching", view.targets.switching, "without_weights", view.targets.without_weights,
-      "old_weights", view.targets.old_weights, "unreported", view.targets.unreported);
+      view.capacity.demand.same_hall_per_second + view.capacity.demand.other_halls_per_second,
+      "refused_share", view.capacity.demand.refused_share, "settings", view.settings, "targets",
+      view.targets.listed, "open", view.targets.open, "leaving", view.targets.leaving, "avoided",
+      view.targets.avoided, "switching", view.targets.switching, "without_weights",
+      view.targets.without_weights, "old_weights", view.targets.old_weights, "unreported",
+      view.targets.unreported);
 }
 
 void RequestLog::OnAnswerCut(const TrackedRequest& tracked, const Common::ErrorAnswer& answer,
--- a/Source/Core/Gateway/RequestLog.h
+++ b/Source/Core/Gateway/RequestLog.h
@@ -15,8 +15,8 @@
   // The number of requests that wait or run at the service's targets, divided by the targets'
   // slots.
   double utilization = 0;
-  ServiceRoom capacity;
-  TargetSurvey targets;
+  ServiceCapacity capacity;
+  TargetSummary targets;
   Settings::DocumentVersion settings = 0;
 };
 
--- a/Source/Core/Gateway/Target.h
+++ b/Source/Core/Gateway/Target.h
@@ -45,8 +45,8 @@
 struct GatewayDemand
 {
   // Arrivals per second at the gateways of the target's hall and at those of other halls.
-  double near_per_second = 0;
-  double far_per_second = 0;
+  double same_hall_per_second = 0;
+  double other_halls_per_second = 0;
   // The share of these requests that the gateways refused recently.
   double refused_share = 0;
 
@@ -89,17 +89,17 @@
 };
 
 // The unfinished work that one gateway has at a target.
-struct OwnWork
+struct GatewayWork
 {
   std::uint32_t requests = 0;
   // Prompt tokens of the requests whose answers have not started.
   std::uint32_t unread_prompt_tokens = 0;
 
-  bool operator==(const OwnWork&) const = default;
+  bool operator==(const GatewayWork&) const = default;
 };
 
 // The demand at one gateway.
-struct OwnDemand
+struct DemandReport
 {
   double arrivals_per_second = 0;
   double refused_share = 0;
--- a/Source/Core/Gateway/TargetChoosing.cpp
+++ b/Source/Core/Gateway/TargetChoosing.cpp
@@ -83,7 +83,7 @@
   return work;
 }
 
-SpreadParameters TargetTable::SpreadParametersFor(const TargetWish& query,
+SpreadParameters TargetTable::SpreadParametersFor(const TargetQuery& query,
                                                   const Candidates& candidates, TimePoint now) const
 {
   const EngineProfile* engine = EngineOf(query.service);
@@ -97,8 +97,8 @@
   const double report_delay_seconds = std::chrono::duration<double>(LOAD_REPORT_DELAY).count();
   const double pending_seconds =
       report_delay_seconds + static_cast<double>(query.waiting) / std::max(local_arrivals, 1.0);
-  return {std::max(demand.near_per_second - local_arrivals, 0.0) * pending_seconds,
-          demand.far_per_second * pending_seconds,
+  return {std::max(demand.same_hall_per_second - local_arrivals, 0.0) * pending_seconds,
+          demand.other_halls_per_second * pending_seconds,
           candidates.sum_of_delays / static_cast<Duration::rep>(candidates.options.size()),
           OTHER_HALL_PENALTY, LOAD_REPORT_DELAY};
 }
@@ -134,9 +134,9 @@
       { return entry.second.listed.service == service && entry.second.IsListed(); }));
 }
 
-TargetSurvey TargetTable::SurveyOf(const TargetWish& query, TimePoint now) const
+TargetSummary TargetTable::SummaryOf(const TargetQuery& query, TimePoint now) const
 {
-  TargetSurvey summary;
+  TargetSummary summary;
   for (const auto& [id, target] : m_targets)
   {
     if (target.listed.service != query.service || !target.IsListed())
@@ -158,8 +158,8 @@
       break;
     case Availability::Switching:
       ++summary.switching;
-      summary.switching_room += static_cast<double>(target.listed.slots) /
-                                static_cast<double>(std::max<std::size_t>(m_gateways.all, 1));
+      summary.switching_capacity += static_cast<double>(target.listed.slots) /
+                                    static_cast<double>(std::max<std::size_t>(m_gateways.all, 1));
       break;
     case Availability::WithoutWeights:
       ++summary.without_weights;
@@ -191,19 +191,19 @@
   Duration overdue{};
   for (const auto& [request, expected] : target.expected_starts)
     overdue = std::max(overdue, now - expected);
-  return std::max({decayed_lag, overdue, WayTo(target)});
+  return std::max({decayed_lag, overdue, NetworkDelayTo(target)});
 }
 
-Duration TargetTable::WayTo(const Target& target)
+Duration TargetTable::NetworkDelayTo(const Target& target)
 {
   return target.load ? std::max(target.load->round_trip, target.load->inbound_delay)
                      : Milliseconds(0);
 }
 
-Duration TargetTable::WayTo(const TargetId& id) const
+Duration TargetTable::NetworkDelayTo(const TargetId& id) const
 {
   const auto found = m_targets.find(id);
-  return found == m_targets.end() ? Duration::zero() : WayTo(found->second);
+  return found == m_targets.end() ? Duration::zero() : NetworkDelayTo(found->second);
 }
 
 Duration TargetTable::StartMargin(const Target& target, TimePoint now) const
@@ -213,7 +213,7 @@
   return HasValidLoad(target, now) ? START_MARGIN_OLD_REPORT : START_MARGIN_SILENT;
 }
 
-bool TargetTable::MeetsSwitchDeadlines(const Target& target, const TargetWish& query,
+bool TargetTable::MeetsSwitchDeadlines(const Target& target, const TargetQuery& query,
                                        Duration start, TimePoint now) const
 {
   if (!target.listed.needs_weights)
@@ -226,7 +226,7 @@
                              });
 }
 
-Duration TargetTable::SwitchDelay(const Target& target, const TargetWish& query,
+Duration TargetTable::SwitchDelay(const Target& target, const TargetQuery& query,
                                   TimePoint now) const
 {
   const EngineProfile* engine = EngineOf(target.listed.service);
@@ -244,7 +244,7 @@
   return std::uniform_real_distribution<double>(0, 1)(m_random);
 }
 
-static double SizeWeight(const EngineProfile& engine, const TargetWish& query)
+static double SizeWeight(const EngineProfile& engine, const TargetQuery& query)
 {
   using Seconds = std::chrono::duration<double>;
   const Seconds usual_time =
@@ -255,20 +255,20 @@
                     MAX_SIZE_WEIGHT);
 }
 
-bool TargetTable::IsAdmitted(const TargetWish& query, const std::vector<SpreadOption>& options,
+bool TargetTable::IsAdmitted(const TargetQuery& query, const std::vector<SpreadOption>& options,
                              const SpreadParameters& spread, TimePoint now)
 {
   const EngineProfile* engine = EngineOf(query.service);
-  if (!engine || !query.start_most)
+  if (!engine || !query.max_start)
     return true;
-  const double admitted_share = AdmittedShare(options, spread, *query.start_most);
+  const double admitted_share = AdmittedShare(options, spread, *query.max_start);
   if (admitted_share >= 1)
     return true;
   const double weight = SizeWeight(*engine, query) * m_demand.FairnessWeight(query.service, now);
   return RandomFraction() <= admitted_share * weight;
 }
 
-void TargetTable::UpdateCrowding(const TargetWish& query, const std::vector<SpreadOption>& options,
+void TargetTable::UpdateCrowding(const TargetQuery& query, const std::vector<SpreadOption>& options,
                                  TimePoint now)
 {
   const EngineProfile* engine = EngineOf(query.service);
@@ -283,21 +283,21 @@
     m_crowded_until = now + CROWDED_TIME;
 }
 
-bool TargetTable::IsOpenFor(const TargetId& id, const Target& target, const TargetWish& query,
+bool TargetTable::IsOpenFor(const TargetId& id, const Target& target, const TargetQuery& query,
                             TimePoint now) const
 {
   return target.listed.service == query.service && IsOpen(target, now) && !query.tried.contains(id);
 }
 
-bool TargetTable::IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& query,
-                                  TimePoint now) const
+bool TargetTable::IsLastResortFor(const TargetId& id, const Target& target,
+                                  const TargetQuery& query, TimePoint now) const
 {
   return target.listed.service == query.service && !target.listed.needs_weights &&
          target.IsListed() && AvailabilityOf(target, now) == Availability::Avoided &&
          target.failures <= MAX_TOLERATED_FAILURES && !query.tried.contains(id);
 }
 
-void TargetTable::AddCandidate(const TargetId& id, const Target& target, const TargetWish& query,
+void TargetTable::AddCandidate(const TargetId& id, const Target& target, const TargetQuery& query,
                                TimePoint now, Candidates* candidates) const
 {
   const Duration start = ExpectedStartAt(target, query.prompt_tokens, now);
@@ -328,7 +328,7 @@
     candidates->sum_of_delays += StartDelayPerRequest(*engine, load, PaceOf(target));
 }
 
-TargetTable::Candidates TargetTable::CandidatesFor(const TargetWish& query, TimePoint now) const
+TargetTable::Candidates TargetTable::CandidatesFor(const TargetQuery& query, TimePoint now) const
 {
   const bool is_subset_open = std::ranges::any_of(
       m_targets, [&](const auto& entry)
@@ -349,7 +349,7 @@
   return candidates;
 }
 
-std::optional<TargetChoice> TargetTable::Choose(const TargetWish& query, TimePoint now)
+std::optional<TargetChoice> TargetTable::Choose(const TargetQuery& query, TimePoint now)
 {
   Candidates candidates = CandidatesFor(query, now);
   UpdateCrowding(query, candidates.options, now);
@@ -371,9 +371,9 @@
   return choice;
 }
 
-ServiceRoom TargetTable::RoomFor(const TargetWish& query, TimePoint now) const
+ServiceCapacity TargetTable::CapacityFor(const TargetQuery& query, TimePoint now) const
 {
-  ServiceRoom capacity;
+  ServiceCapacity capacity;
   capacity.demand = m_demand.TotalDemand(query.service, m_gateways, now);
   const Candidates candidates = CandidatesFor(query, now);
   if (candidates.choices.empty())
@@ -381,9 +381,9 @@
   capacity.best_start =
       std::ranges::min_element(candidates.choices, {}, &TargetChoice::expected_start)
           ->expected_start;
-  if (query.start_most)
+  if (query.max_start)
     capacity.admitted_part = AdmittedShare(
-        candidates.options, SpreadParametersFor(query, candidates, now), *query.start_most);
+        candidates.options, SpreadParametersFor(query, candidates, now), *query.max_start);
   return capacity;
 }
 
--- a/Source/Core/Gateway/TargetReach.cpp
+++ b/Source/Core/Gateway/TargetReach.cpp
@@ -20,7 +20,7 @@
 
 std::size_t GatewayCounts::OtherHallGatewaysPerTarget() const
 {
-  return std::min(all - std::min(all, near), OTHER_HALL_GATEWAYS_PER_TARGET);
+  return std::min(all - std::min(all, same_hall), OTHER_HALL_GATEWAYS_PER_TARGET);
 }
 
 // How many of `targets` each of `gateways` has to use so that `gateways_per_target` gateways use
@@ -54,11 +54,11 @@
   {
     const bool is_same_hall = group.second == m_hall;
     const std::size_t count =
-        is_same_hall
-            ? TargetsPerGateway(ranked.size(), gateways.near, SAME_HALL_GATEWAYS_PER_TARGET,
-                                MIN_SAME_HALL_TARGETS)
-            : TargetsPerGateway(ranked.size(), gateways.all - std::min(gateways.all, gateways.near),
-                                OTHER_HALL_GATEWAYS_PER_TARGET, MIN_OTHER_HALL_TARGETS);
+        is_same_hall ? TargetsPerGateway(ranked.size(), gateways.same_hall,
+                                         SAME_HALL_GATEWAYS_PER_TARGET, MIN_SAME_HALL_TARGETS)
+                     : TargetsPerGateway(ranked.size(),
+                                         gateways.all - std::min(gateways.all, gateways.same_hall),
+                                         OTHER_HALL_GATEWAYS_PER_TARGET, MIN_OTHER_HALL_TARGETS);
     const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
     std::partial_sort(ranked.begin(), end, ranked.end());
     std::ranges::transform(ranked.begin(), end, std::inserter(used, used.end()),
--- a/Source/Core/Gateway/TargetReach.h
+++ b/Source/Core/Gateway/TargetReach.h
@@ -18,7 +18,7 @@
 struct GatewayCounts
 {
   std::size_t all = 1;
-  std::size_t near = 1; // gateways of this gateway's hall, including this gateway
+  std::size_t same_hall = 1; // gateways of this gateway's hall, including this gateway
 
   bool operator==(const GatewayCounts&) const = default;
   // The approximate number of gateways of other halls that use one target.
--- a/Source/Core/Gateway/TargetTable.cpp
+++ b/Source/Core/Gateway/TargetTable.cpp
@@ -63,7 +63,7 @@
   return !id.empty() && m_targets.at(id).is_used;
 }
 
-std::vector<Common::Address> TargetTable::Used() const
+std::vector<Common::Address> TargetTable::UsedAddresses() const
 {
   std::vector<Common::Address> used;
   for (const auto& [id, target] : m_targets)
@@ -74,7 +74,7 @@
   return used;
 }
 
-OwnWork TargetTable::OwnWorkAt(const TargetId& id) const
+GatewayWork TargetTable::WorkAt(const TargetId& id) const
 {
   const auto found = m_targets.find(id);
   if (found == m_targets.end())
@@ -91,9 +91,9 @@
   return found->second.listed.address;
 }
 
-OwnDemand TargetTable::DemandHere(TimePoint now) const
+DemandReport TargetTable::CurrentDemand(TimePoint now) const
 {
-  OwnDemand all;
+  DemandReport all;
   double refused = 0;
   for (const auto& [service, engine] : m_engines)
   {
@@ -106,7 +106,7 @@
   return all;
 }
 
-void TargetTable::OnLoad(const TargetLoad& load, TimePoint now)
+void TargetTable::OnLoadReport(const TargetLoad& load, TimePoint now)
 {
   m_last_report = now;
   AddReported(load, now);
@@ -146,7 +146,7 @@
   return target.listed.weights_version;
 }
 
-std::size_t TargetTable::Reported() const
+std::size_t TargetTable::ReportedCount() const
 {
   const auto is_reported = [](const auto& entry) { return entry.second.load.has_value(); };
   return static_cast<std::size_t>(std::ranges::count_if(m_targets, is_reported));
@@ -197,7 +197,7 @@
   return found == m_targets.end() ? 0 : WeightsOf(found->second);
 }
 
-bool TargetTable::IsTaking(const TargetId& id, std::uint64_t version, TimePoint now) const
+bool TargetTable::IsSwitchingTo(const TargetId& id, std::uint64_t version, TimePoint now) const
 {
   const auto found = m_targets.find(id);
   if (found == m_targets.end() || !found->second.load)
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -35,7 +35,7 @@
 };
 
 // The properties of a request for which a target is needed.
-struct TargetWish
+struct TargetQuery
 {
   std::string service;
   std::uint32_t prompt_tokens = 0;
@@ -48,7 +48,7 @@
   // How many other requests wait for the service at this gateway.
   std::size_t waiting = 0;
   // The maximum time until the start: a later start is useless.
-  std::optional<Common::Duration> start_most = std::nullopt;
+  std::optional<Common::Duration> max_start = std::nullopt;
 };
 
 struct TargetChoice
@@ -72,7 +72,7 @@
 };
 
 // The capacity that a service has for a request at present.
-struct ServiceRoom
+struct ServiceCapacity
 {
   // Time until the best target would start the request; negative if there is no target.
   Common::Duration best_start = Common::Milliseconds(-1);
@@ -84,7 +84,7 @@
 
 // Counts the targets of a service by whether they accept a request, and if not, by the reason. Each
 // listed target counts once.
-struct TargetSurvey
+struct TargetSummary
 {
   std::uint32_t listed = 0;
   std::uint32_t open = 0;
@@ -94,7 +94,7 @@
   // Targets that are switching to another version of the weights, and their capacity after the
   // switch, in requests per gateway.
   std::uint32_t switching = 0;
-  double switching_room = 0;
+  double switching_capacity = 0;
   std::uint32_t without_weights = 0;
   // Targets on the target list whose agents have not reported yet, while other agents have.
   std::uint32_t unreported = 0;
@@ -122,16 +122,16 @@
   // Factor by which answers of the service's engines take longer than published; 1 if they are as
   // published.
   double CorrectionOf(const std::string& service) const;
-  void OnLoad(const TargetLoad& load, Common::TimePoint now);
+  void OnLoadReport(const TargetLoad& load, Common::TimePoint now);
 
   // Sets the number of gateways: the gateways of this hall, including this gateway, choose targets
   // from the same load reports.
   void SetGateways(const GatewayCounts& gateways);
   // Chooses the target with the least expected time until the answer starts. Empty if there is no
   // target, or if other requests are expected to use up the remaining capacity.
-  std::optional<TargetChoice> Choose(const TargetWish& query, Common::TimePoint now);
-  ServiceRoom RoomFor(const TargetWish& query, Common::TimePoint now) const;
-  TargetSurvey SurveyOf(const TargetWish& query, Common::TimePoint now) const;
+  std::optional<TargetChoice> Choose(const TargetQuery& query, Common::TimePoint now);
+  ServiceCapacity CapacityFor(const TargetQuery& query, Common::TimePoint now) const;
+  TargetSummary SummaryOf(const TargetQuery& query, Common::TimePoint now) const;
   // The number of requests that wait or run at the service's targets, divided by the number of
   // their slots.
   double Utilization(const std::string& service, Common::TimePoint now) const;
@@ -139,18 +139,18 @@
   // pass of an engine, or the time that a plain service takes for an answer.
   Common::Duration PassTimeOf(const std::string& service) const;
   // The mean time in which a full target finishes all its running requests.
-  Common::Duration TurnoverOf(const std::string& service) const;
+  Common::Duration TurnoverTimeOf(const std::string& service) const;
   bool IsAcceptable(const TargetId& id) const;
   // The listed target at the address; empty if there is none.
   TargetId FindByAddress(const Common::Address& address) const;
   // The current network delay of a message to the target.
-  Common::Duration WayTo(const TargetId& id) const;
+  Common::Duration NetworkDelayTo(const TargetId& id) const;
   // The version of the weights that the target is known to have; 0 if the version or the target is
   // not known.
   std::uint64_t WeightsAt(const TargetId& id) const;
   // Whether a recent report says that the target is switching to this version, or to a later one,
   // before it starts any other request.
-  bool IsTaking(const TargetId& id, std::uint64_t version, Common::TimePoint now) const;
+  bool IsSwitchingTo(const TargetId& id, std::uint64_t version, Common::TimePoint now) const;
   // Whether the target still has this incarnation: after a restart, a target has no state of
   // earlier requests.
   bool IsSameIncarnation(const TargetId& id, std::uint64_t incarnation) const;
@@ -164,7 +164,7 @@
     m_demand.OnRefused(service, now);
   }
   // The demand at this gateway for services that have engines.
-  OwnDemand DemandHere(Common::TimePoint now) const;
+  DemandReport CurrentDemand(Common::TimePoint now) const;
   // `request` identifies the request until it has ended.
   void OnDispatched(const TargetId& id, std::uint64_t request, std::uint32_t prompt_tokens,
                     Common::Duration expected_start, Common::TimePoint now);
@@ -187,18 +187,18 @@
 
   std::size_t Size() const { return m_targets.size(); }
   // The number of known targets of which a load report has arrived since this process started.
-  std::size_t Reported() const;
+  std::size_t ReportedCount() const;
   // All targets that are listed and not replaced.
   std::vector<ListedTarget> Listed() const;
   // IsUsed() tells whether the listed target at the address belongs to the subset that this gateway
   // uses. Used() returns the addresses of all targets of the subset that have agents.
   bool IsUsed(const Common::Address& address) const;
-  std::vector<Common::Address> Used() const;
+  std::vector<Common::Address> UsedAddresses() const;
   // Whether targets of other halls are needed, because the best target of this hall would start a
   // request too late.
   bool NeedsOtherHalls(Common::TimePoint now) const { return now < m_crowded_until; }
   // The unfinished work that this gateway has at the target.
-  OwnWork OwnWorkAt(const TargetId& id) const;
+  GatewayWork WorkAt(const TargetId& id) const;
   // The address of a target that has an agent beside it, to which this gateway can announce its
   // work; empty if the target has no agent.
   std::optional<Common::Address> AgentOf(const TargetId& id) const;
@@ -294,40 +294,40 @@
     // target.
     Common::Duration sum_of_delays{};
   };
-  SpreadParameters SpreadParametersFor(const TargetWish& query, const Candidates& candidates,
+  SpreadParameters SpreadParametersFor(const TargetQuery& query, const Candidates& candidates,
                                        Common::TimePoint now) const;
   // The open targets in the subset that this gateway uses, or all open targets if none of the
   // subset is open. If no target is open, the candidates are avoided targets that qualify as a last
   // resort.
-  Candidates CandidatesFor(const TargetWish& query, Common::TimePoint now) const;
-  void AddCandidate(const TargetId& id, const Target& target, const TargetWish& query,
+  Candidates CandidatesFor(const TargetQuery& query, Common::TimePoint now) const;
+  void AddCandidate(const TargetId& id, const Target& target, const TargetQuery& query,
                     Common::TimePoint now, Candidates* candidates) const;
-  bool IsOpenFor(const TargetId& id, const Target& target, const TargetWish& query,
+  bool IsOpenFor(const TargetId& id, const Target& target, const TargetQuery& query,
                  Common::TimePoint now) const;
   // Whether a plain service's target that is avoided after failures may be used because there is no
   // other target.
-  bool IsLastResortFor(const TargetId& id, const Target& target, const TargetWish& query,
+  bool IsLastResortFor(const TargetId& id, const Target& target, const TargetQuery& query,
                        Common::TimePoint now) const;
   // Whether the request may be sent now. If the targets cannot start all expected requests in time,
   // requests are admitted at random, with a probability that depends on the admitted share.
-  bool IsAdmitted(const TargetWish& query, const std::vector<SpreadOption>& options,
+  bool IsAdmitted(const TargetQuery& query, const std::vector<SpreadOption>& options,
                   const SpreadParameters& spread, Common::TimePoint now);
   // A random number, uniformly distributed from 0 to 1.
   double RandomFraction();
   // Records when no target of this hall can start the request soon.
-  void UpdateCrowding(const TargetWish& query, const std::vector<SpreadOption>& options,
+  void UpdateCrowding(const TargetQuery& query, const std::vector<SpreadOption>& options,
                       Common::TimePoint now);
   std::uint64_t WeightsOf(const Target& target) const;
   // The time that is added to twice the expected start time to get the latest start of a request at
   // the target.
   Common::Duration StartMargin(const Target& target, Common::TimePoint now) const;
   // Whether a request that is sent now would start with weights that are new enough at that time.
-  bool MeetsSwitchDeadlines(const Target& target, const TargetWish& query, Common::Duration start,
+  bool MeetsSwitchDeadlines(const Target& target, const TargetQuery& query, Common::Duration start,
                             Common::TimePoint now) const;
   Common::Duration ExpectedStartAt(const Target& target, std::uint32_t prompt_tokens,
                                    Common::TimePoint now) const;
   Common::Duration LagOf(const Target& target, Common::TimePoint now) const;
-  static Common::Duration WayTo(const Target& target);
+  static Common::Duration NetworkDelayTo(const Target& target);
   // Whether the target's agent has not reported since the target became known to this gateway,
   // while other agents report. The target has then probably ended, and its record has not lapsed
   // yet.
@@ -347,7 +347,7 @@
   bool IsOpen(const Target& target, Common::TimePoint now) const;
   // The time by which a request that starts at the target now would delay the target's planned
   // switch to another version of the weights.
-  Common::Duration SwitchDelay(const Target& target, const TargetWish& query,
+  Common::Duration SwitchDelay(const Target& target, const TargetQuery& query,
                                Common::TimePoint now) const;
 
   std::string m_hall;
--- a/Source/Core/Gateway/TargetTimes.cpp
+++ b/Source/Core/Gateway/TargetTimes.cpp
@@ -96,7 +96,7 @@
   return engine ? PassTime(*engine) : PlainTimeOf(service);
 }
 
-Duration TargetTable::TurnoverOf(const std::string& service) const
+Duration TargetTable::TurnoverTimeOf(const std::string& service) const
 {
   const EngineProfile* engine = EngineOf(service);
   return engine ? SlotInterval(*engine, 1) * std::max<std::uint32_t>(engine->slots, 1)
--- a/Source/Core/Gateway/WaitLimit.cpp
+++ b/Source/Core/Gateway/WaitLimit.cpp
@@ -11,12 +11,12 @@
 // can still begin in time.
 static constexpr int LOADING_WAIT_DIVISOR = 2;
 
-static bool HasUsableTargets(const TargetSurvey& survey)
+static bool HasUsableTargets(const TargetSummary& survey)
 {
   return survey.open > 0 || survey.avoided > 0;
 }
 
-Duration MaxWait(const TargetSurvey& survey, std::size_t waiting, Duration pass,
+Duration MaxWait(const TargetSummary& survey, std::size_t waiting, Duration pass,
                  Duration start_goal)
 {
   // If a request gets no target within a pass, the overload is lasting, and a longer wait would
@@ -25,7 +25,7 @@
     return pass;
   // Only as many requests wait as the targets that load weights can run afterwards. If only 1 of
   // 200 targets loads weights, all other requests would wait in vain.
-  if (survey.switching > 0 && static_cast<double>(waiting) <= survey.switching_room)
+  if (survey.switching > 0 && static_cast<double>(waiting) <= survey.switching_capacity)
     return start_goal / LOADING_WAIT_DIVISOR;
   // A gateway that has just started receives the target list and the load reports within moments.
   if (survey.listed == 0 || survey.unreported > 0)
@@ -35,7 +35,7 @@
   return Duration::zero();
 }
 
-ErrorKind RefusalReason(const TargetSurvey& survey)
+ErrorKind RefusalReason(const TargetSummary& survey)
 {
   const bool lacks_weights = survey.switching + survey.old_weights + survey.without_weights > 0 &&
                              !HasUsableTargets(survey);
--- a/Source/Core/Mesh/Briefing.h
+++ b/Source/Core/Mesh/Briefing.h
@@ -35,7 +35,7 @@
   std::set<Common::Address> sidecars;
   // Whether targets of other halls are needed too.
   bool needs_other_halls = false;
-  Gateway::OwnDemand demand;
+  Gateway::DemandReport demand;
   // The number of gateways of the local hall, including this one.
   std::uint32_t near_gateways = 1;
 };
--- a/Source/Core/Mesh/MeshMessages.h
+++ b/Source/Core/Mesh/MeshMessages.h
@@ -110,7 +110,7 @@
   // report.
   bool wants_load = false;
   // The demand for engines at the sender: the rate of arrivals and the refused share.
-  Gateway::OwnDemand demand;
+  Gateway::DemandReport demand;
   // The number of gateways of the sender's hall, including the sender.
   std::uint32_t near_gateways = 0;
 };
@@ -118,7 +118,7 @@
 // The work that a gateway has at the receiver's target, sent whenever it changes.
 struct WorkUpdate
 {
-  Gateway::OwnWork work;
+  Gateway::GatewayWork work;
 };
 
 // A sidecar's report about its target.
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -131,18 +131,18 @@
     Common::TimePoint last_report{};
     // The gateway needs every load report.
     bool wants_load = false;
-    Gateway::OwnDemand demand;
+    Gateway::DemandReport demand;
     // Number of gateways in the gateway's hall, as the gateway reports it.
     std::uint32_t near_gateways = 0;
     // The work that the gateway has at the target.
-    Gateway::OwnWork work;
+    Gateway::GatewayWork work;
     // When this sidecar last sent the gateway the list of the gateways in the hall.
     Common::TimePoint gateways_sent_at{};
   };
 
   void OnHello(const Mesh::Sender& from, const Mesh::Hello& hello, Common::TimePoint now,
                Actions* actions);
-  void OnWorkAnnounced(const Mesh::Sender& from, const Gateway::OwnWork& work,
+  void OnWorkAnnounced(const Mesh::Sender& from, const Gateway::GatewayWork& work,
                        Common::TimePoint now, Actions* actions);
   // Whether a gateway of the hall has sent a message within the given time.
   bool HasSeenGateway(Common::Duration within, Common::TimePoint now) const;
@@ -150,7 +150,7 @@
   void SearchGateways(Common::TimePoint now, Actions* actions);
   void RequestBriefings(const std::vector<Common::Address>& gateways, Actions* actions);
   // The work that all gateways together have at the target.
-  Gateway::OwnWork TotalWork(Common::TimePoint now) const;
+  Gateway::GatewayWork TotalWork(Common::TimePoint now) const;
   // Adopts the plan and the peers of the hello unless they are older than the known ones.
   void OnBriefing(const Mesh::Hello& hello, Common::TimePoint now, Actions* actions);
   // Number of gateways in all halls, as the known gateways report it.
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -35,13 +35,13 @@
 static constexpr Milliseconds SWITCH_HORIZON = Milliseconds(3000);
 static constexpr Milliseconds PROGRESS_PERIOD = Milliseconds(500);
 
-void Sidecar::OnWorkAnnounced(const Mesh::Sender& from, const Gateway::OwnWork& work, TimePoint now,
-                              Actions* actions)
+void Sidecar::OnWorkAnnounced(const Mesh::Sender& from, const Gateway::GatewayWork& work,
+                              TimePoint now, Actions* actions)
 {
   KnownGateway& gateway = m_gateways[from.address];
   gateway.hall = from.hall;
   gateway.last_seen = now;
-  const Gateway::OwnWork before = std::exchange(gateway.work, work);
+  const Gateway::GatewayWork before = std::exchange(gateway.work, work);
   if (work.requests <= before.requests || m_load_due)
     return;
   m_load_due = std::max(now, m_load_sent_at + MIN_LOAD_REPORT_GAP);
@@ -49,9 +49,9 @@
     SendLoadReports(now, actions);
 }
 
-Gateway::OwnWork Sidecar::TotalWork(TimePoint now) const
+Gateway::GatewayWork Sidecar::TotalWork(TimePoint now) const
 {
-  Gateway::OwnWork all;
+  Gateway::GatewayWork all;
   for (const auto& [address, gateway] : m_gateways)
   {
     if (now - gateway.last_seen > WORK_LIFETIME)
@@ -88,10 +88,11 @@
     const bool is_near = gateway.hall == m_options.hall;
     if (!is_near && !gateway.wants_load)
       continue;
-    (is_near ? all.near_per_second : all.far_per_second) += gateway.demand.arrivals_per_second;
+    (is_near ? all.same_hall_per_second : all.other_halls_per_second) +=
+        gateway.demand.arrivals_per_second;
     refused += gateway.demand.arrivals_per_second * gateway.demand.refused_share;
   }
-  if (const double arrivals = all.near_per_second + all.far_per_second; arrivals > 0)
+  if (const double arrivals = all.same_hall_per_second + all.other_halls_per_second; arrivals > 0)
     all.refused_share = refused / arrivals;
   return all;
 }
@@ -105,7 +106,7 @@
   load.next_version = m_loader.IsUnderWay() ? m_loader.Version() : 0;
   if (m_report)
   {
-    const Gateway::OwnWork work = TotalWork(now);
+    const Gateway::GatewayWork work = TotalWork(now);
     const std::uint32_t announced = work.requests - std::min(work.requests, m_requests_at_report);
     const std::uint32_t ended =
         m_requests_at_report - std::min(work.requests, m_requests_at_report);
--- a/Source/Node/GatewayControl.cpp
+++ b/Source/Node/GatewayControl.cpp
@@ -98,7 +98,7 @@
   m_briefing.SetTargetUse(std::move(use));
 }
 
-void GatewayControl::SendWorkUpdate(const Address& target, const Gateway::OwnWork& work)
+void GatewayControl::SendWorkUpdate(const Address& target, const Gateway::GatewayWork& work)
 {
   m_mesh.SendDatagram({target.host, m_mesh.Self().address.port}, Mesh::WorkUpdate{work});
 }
--- a/Source/Node/GatewayControl.h
+++ b/Source/Node/GatewayControl.h
@@ -29,7 +29,7 @@
   {
     std::vector<Common::Address> targets;
     bool needs_other_halls = false;
-    Gateway::OwnDemand demand;
+    Gateway::DemandReport demand;
   };
 
   // What is new is told by these.
@@ -57,7 +57,7 @@
   void Tick(Common::TimePoint now);
   Common::TimePoint NextWakeup() const;
   // Tells the sidecar beside the target what is open there.
-  void SendWorkUpdate(const Common::Address& target, const Gateway::OwnWork& work);
+  void SendWorkUpdate(const Common::Address& target, const Gateway::GatewayWork& work);
   // Drops connections to peers that carried nothing for a while.
   void CloseIdle(Common::TimePoint now) { m_mesh.CloseIdle(now); }
 
--- a/Source/Node/GatewayNode.cpp
+++ b/Source/Node/GatewayNode.cpp
@@ -64,7 +64,7 @@
             metrics.Set("holdpost_reads_platform", m_control.IsReader() ? 1 : 0);
             metrics.Set("holdpost_targets_known", static_cast<double>(m_core.Targets().Size()));
             metrics.Set("holdpost_targets_reported",
-                        static_cast<double>(m_core.Targets().Reported()));
+                        static_cast<double>(m_core.Targets().ReportedCount()));
             metrics.Set("holdpost_log_lines_dropped",
                         static_cast<double>(Common::EventLog::Instance().Dropped()));
           },
@@ -148,8 +148,8 @@
   {
     const Gateway::TargetTable& targets = m_core.Targets();
     const TimePoint now = EventLoop::Now();
-    return GatewayControl::TargetsInUse{targets.Used(), targets.NeedsOtherHalls(now),
-                                        targets.DemandHere(now)};
+    return GatewayControl::TargetsInUse{targets.UsedAddresses(), targets.NeedsOtherHalls(now),
+                                        targets.CurrentDemand(now)};
   };
   handlers.on_wakeup = [this] { Tick(); };
   return handlers;
--- a/Source/Peers/Mesh/MeshLoadCodec.cpp
+++ b/Source/Peers/Mesh/MeshLoadCodec.cpp
@@ -162,8 +162,8 @@
   out.setEchoMs(ToWireMs(report.echo));
   out.setEchoAgeMs(ToWireMs(report.echo_age));
   out.setInboundDelayMs(ToWireMs(load.inbound_delay));
-  out.setNearArrivals(ToWireCount(load.demand.near_per_second));
-  out.setFarArrivals(ToWireCount(load.demand.far_per_second));
+  out.setNearArrivals(ToWireCount(load.demand.same_hall_per_second));
+  out.setFarArrivals(ToWireCount(load.demand.other_halls_per_second));
   out.setRefusedPercent(ToWirePercent(load.demand.refused_share));
   if (report.near_gateways.empty())
     return;
--- a/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
+++ b/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
@@ -62,8 +62,8 @@
     f.demand.OnArrival(SERVICE, f.now);
     const double own = f.demand.ArrivalsPerSecond(SERVICE, f.now);
     const GatewayDemand total = f.demand.TotalDemand(SERVICE, GATEWAYS, f.now);
-    CHECK(total.near_per_second == doctest::Approx(10 * own));
-    CHECK(total.far_per_second == doctest::Approx(8 * own));
+    CHECK(total.same_hall_per_second == doctest::Approx(10 * own));
+    CHECK(total.other_halls_per_second == doctest::Approx(8 * own));
   }
 }
 
--- a/Source/UnitTests/Core/Gateway/GatewayTest.cpp
+++ b/Source/UnitTests/Core/Gateway/GatewayTest.cpp
@@ -281,15 +281,15 @@
   auto reports = Take<ReportWorkToAgent>(f.actions);
   REQUIRE(reports.size() == 1);
   CHECK(reports[0].target == sent[0].address);
-  CHECK(reports[0].work == OwnWork{1, 1000});
+  CHECK(reports[0].work == GatewayWork{1, 1000});
   f.Feed(f.Began(number));
   reports = Take<ReportWorkToAgent>(f.actions);
   REQUIRE(reports.size() == 1);
-  CHECK(reports[0].work == OwnWork{1, 0});
+  CHECK(reports[0].work == GatewayWork{1, 0});
   f.Feed(AnswerEnded{number});
   reports = Take<ReportWorkToAgent>(f.actions);
   REQUIRE(reports.size() == 1);
-  CHECK(reports[0].work == OwnWork{});
+  CHECK(reports[0].work == GatewayWork{});
 
   SUBCASE("nothing is reported for services without agents")
   {
@@ -303,6 +303,6 @@
     f.Feed(CallerLeft{other});
     reports = Take<ReportWorkToAgent>(f.actions);
     REQUIRE(reports.size() == 1);
-    CHECK(reports[0].work == OwnWork{});
+    CHECK(reports[0].work == GatewayWork{});
   }
 }
--- a/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
+++ b/Source/UnitTests/Core/Gateway/ReportedTargetsTest.cpp
@@ -26,8 +26,8 @@
 {
   Fixture f;
   f.table.SetList({f.one, f.two}, f.now);
-  f.table.OnLoad(LoadOfNext(f.one, "next"), f.now);
-  f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+  f.table.OnLoadReport(LoadOfNext(f.one, "next"), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
   REQUIRE(f.Choose()->id == "next");
   CHECK(f.Choose()->address == f.one.address);
 
@@ -41,21 +41,21 @@
     ListedTarget next = f.one;
     next.id = "next";
     f.table.SetList({next, f.two}, f.now);
-    f.table.OnLoad(LoadOfNext(f.one, "next"), f.now);
+    f.table.OnLoadReport(LoadOfNext(f.one, "next"), f.now);
     CHECK(f.Choose()->id == "next");
     f.table.SetList({f.two}, f.now);
     CHECK(f.Choose()->id == "2");
     // The target leaves the list without a further message, and continues to answer in the
     // meantime.
-    f.table.OnLoad(LoadOfNext(f.one, "next"), f.now);
+    f.table.OnLoadReport(LoadOfNext(f.one, "next"), f.now);
     CHECK(f.Choose()->id == "2");
   }
   SUBCASE("it is removed if the target list does not name it in time")
   {
     f.now += Milliseconds(6000);
     f.table.SetList({f.two}, f.now);
-    f.table.OnLoad(LoadOfNext(f.one, "next"), f.now);
-    f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+    f.table.OnLoadReport(LoadOfNext(f.one, "next"), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
     CHECK(f.Choose()->id == "2");
   }
 }
@@ -66,36 +66,36 @@
 {
   Fixture f;
   f.table.SetList({f.one, f.two}, f.now);
-  const TargetWish query = {"llm", 1000, 100, {}, {}};
+  const TargetQuery query = {"llm", 1000, 100, {}, {}};
   SUBCASE("while no agent reports, all targets are used: their agents may be down")
   {
-    CHECK(f.table.SurveyOf(query, f.now).open == 2);
+    CHECK(f.table.SummaryOf(query, f.now).open == 2);
   }
   SUBCASE("it gets no requests once another target is reported, even if that target is busy")
   {
-    f.table.OnLoad(MakeLoad(f.two, 16), f.now);
-    CHECK(f.table.Reported() == 1);
-    CHECK(f.table.SurveyOf(query, f.now).unreported == 1);
+    f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
+    CHECK(f.table.ReportedCount() == 1);
+    CHECK(f.table.SummaryOf(query, f.now).unreported == 1);
     CHECK(f.Choose()->id == "2");
   }
   SUBCASE("it gets requests after its first report")
   {
-    f.table.OnLoad(MakeLoad(f.two, 16), f.now);
-    f.table.OnLoad(MakeLoad(f.one, 0), f.now);
-    CHECK(f.table.Reported() == 2);
+    f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
+    f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
+    CHECK(f.table.ReportedCount() == 2);
     CHECK(f.Choose()->id == "1");
   }
   SUBCASE("it is used without a report once its record would have lapsed: its agent may be down")
   {
     f.now += Milliseconds(5000);
-    f.table.OnLoad(MakeLoad(f.two, 16), f.now);
-    CHECK(f.table.SurveyOf(query, f.now).open == 2);
+    f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
+    CHECK(f.table.SummaryOf(query, f.now).open == 2);
   }
   SUBCASE("it is used when all agents stop reporting")
   {
-    f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
     f.now += Milliseconds(2500);
-    CHECK(f.table.SurveyOf(query, f.now).unreported == 0);
+    CHECK(f.table.SummaryOf(query, f.now).unreported == 0);
   }
 }
 
@@ -107,7 +107,7 @@
   {
     ListedTarget unknown = f.one;
     unknown.address.port = 81;
-    f.table.OnLoad(LoadOfNext(unknown, "next"), f.now);
+    f.table.OnLoadReport(LoadOfNext(unknown, "next"), f.now);
     CHECK(f.table.Size() == 2);
   }
   SUBCASE("if its target has left the target list")
@@ -116,15 +116,15 @@
     ListedTarget next = f.one;
     next.id = "3";
     f.table.SetList({next, f.two}, f.now);
-    f.table.OnLoad(LoadOfNext(f.one, "1"), f.now);
-    f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+    f.table.OnLoadReport(LoadOfNext(f.one, "1"), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
     CHECK(f.Choose()->id != "1");
   }
   SUBCASE("a report on another target at the address changes nothing about the listed one")
   {
     TargetLoad load = LoadOfNext(f.one, "next");
     load.weights_version = 7;
-    f.table.OnLoad(load, f.now);
+    f.table.OnLoadReport(load, f.now);
     CHECK(f.table.WeightsAt("1") == 1);
     CHECK(f.table.WeightsAt("next") == 7);
   }
--- a/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetChoosingTest.cpp
@@ -17,8 +17,8 @@
   Fixture f;
   f.two.weights_version = 2;
   f.table.SetList({f.one, f.two}, f.now);
-  f.table.OnLoad(MakeLoad(f.one, 0), f.now);
-  f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+  f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
   const auto choose_before = [&](Milliseconds left) {
     return f.Choose({"llm", 1000, 100, {}, {{2, f.now + left}}});
   };
@@ -36,20 +36,20 @@
           "switch deadline")
   {
     f.now += Milliseconds(600);
-    f.table.OnLoad(MakeLoad(f.two, 20), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 20), f.now);
     CHECK(choose_before(Milliseconds(1500))->id == "2");
     CHECK(choose_before(Milliseconds(5000))->id == "1");
   }
   SUBCASE("the time is longer if no report came for seconds: requests may be in transit as long")
   {
     f.now += Milliseconds(2100);
-    f.table.OnLoad(MakeLoad(f.two, 20), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 20), f.now);
     CHECK(choose_before(Milliseconds(3500))->id == "2");
     CHECK(choose_before(Milliseconds(9000))->id == "1");
   }
   SUBCASE("an earlier switch deadline holds beside a later one")
   {
-    const TargetWish query{"llm", 1000, 100, {}, {{2, f.now}, {3, f.now + Milliseconds(3000)}}};
+    const TargetQuery query{"llm", 1000, 100, {}, {{2, f.now}, {3, f.now + Milliseconds(3000)}}};
     CHECK(f.Choose(query)->id == "2");
   }
 }
@@ -59,14 +59,14 @@
   Fixture f;
   TargetLoad load = MakeLoad(f.one, 0);
   load.switch_in = Milliseconds(400);
-  f.table.OnLoad(load, f.now);
-  f.table.OnLoad(MakeLoad(f.two, 6), f.now);
+  f.table.OnLoadReport(load, f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 6), f.now);
   CHECK(f.Choose({"llm", 100, 5, {}, {}})->id == "1");
   CHECK(f.Choose({"llm", 100, 200, {}, {}})->id == "2");
 
   SUBCASE("it is still used for them when the other targets are full")
   {
-    f.table.OnLoad(MakeLoad(f.two, 40), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 40), f.now);
     CHECK(f.Choose({"llm", 100, 200, {}, {}})->id == "1");
   }
 }
@@ -76,10 +76,10 @@
   Fixture f;
   TargetLoad many_unread = MakeLoad(f.one, 4);
   many_unread.unread_prompt_tokens = 8000;
-  f.table.OnLoad(many_unread, f.now);
+  f.table.OnLoadReport(many_unread, f.now);
   TargetLoad none_unread = MakeLoad(f.two, 10);
   none_unread.unread_prompt_tokens = 0;
-  f.table.OnLoad(none_unread, f.now);
+  f.table.OnLoadReport(none_unread, f.now);
   CHECK(f.Choose()->id == "2");
   CHECK(f.Choose()->expected_start < Milliseconds(200));
 
@@ -92,11 +92,11 @@
   {
     f.table.OnDispatched("2", 1, 9000, Milliseconds(100), f.now);
     CHECK(f.Choose()->id == "1");
-    CHECK(f.table.OwnWorkAt("2") == OwnWork{1, 9000});
+    CHECK(f.table.WorkAt("2") == GatewayWork{1, 9000});
     f.table.OnStarted("2", 1, 9000, f.now);
-    CHECK(f.table.OwnWorkAt("2") == OwnWork{1, 0});
+    CHECK(f.table.WorkAt("2") == GatewayWork{1, 0});
     f.table.OnEnded("2", 1, 0);
-    CHECK(f.table.OwnWorkAt("2") == OwnWork{});
+    CHECK(f.table.WorkAt("2") == GatewayWork{});
   }
 }
 
@@ -105,10 +105,10 @@
   Fixture f;
   f.table.SetGateways({40, 40});
   // One target has capacity for about two more requests, the other has none.
-  f.table.OnLoad(MakeLoad(f.one, 60), f.now);
-  f.table.OnLoad(MakeLoad(f.two, 15), f.now);
+  f.table.OnLoadReport(MakeLoad(f.one, 60), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 15), f.now);
   f.table.OnArrival("llm", f.now);
-  TargetWish query{"llm", 1000, 100, {}, {}, 1, Milliseconds(400)};
+  TargetQuery query{"llm", 1000, 100, {}, {}, 1, Milliseconds(400)};
   // Enough queries to measure a share to within a few hundredths.
   static constexpr int QUERIES = 4000;
   const auto count_sent = [&]
@@ -148,12 +148,12 @@
     }
     TargetLoad load = MakeLoad(f.two, 15);
     load.demand = {800, 0, 0.3};
-    f.table.OnLoad(load, f.now);
+    f.table.OnLoadReport(load, f.now);
     CHECK(count_sent() > 1.5 * usual);
   }
   SUBCASE("a request without a maximum start time is always admitted")
   {
-    query.start_most.reset();
+    query.max_start.reset();
     CHECK(count_sent() == QUERIES);
   }
 }
@@ -165,10 +165,10 @@
   const ListedTarget other_hall = MakeTarget("2", "there");
   table.SetEngine("llm", Testing::MakeEngine(16));
   table.SetList({same_hall, other_hall}, START);
-  table.OnLoad(MakeLoad(other_hall, 0), START);
+  table.OnLoadReport(MakeLoad(other_hall, 0), START);
   const auto chosen = [&](Common::TimePoint now)
   {
-    table.OnLoad(MakeLoad(same_hall, 16), now);
+    table.OnLoadReport(MakeLoad(same_hall, 16), now);
     return table.Choose({"llm", 1000, 100, {}, {}}, now)->id;
   };
   CHECK(chosen(START + Milliseconds(100)) == "2");
@@ -176,7 +176,7 @@
 
   SUBCASE("it is used when nothing else can start the request soon")
   {
-    table.OnLoad(MakeLoad(same_hall, 24), START + Milliseconds(610));
+    table.OnLoadReport(MakeLoad(same_hall, 24), START + Milliseconds(610));
     CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START + Milliseconds(610))->id == "2");
   }
 }
@@ -187,10 +187,10 @@
   const ListedTarget same_hall = MakeTarget("1");
   table.SetEngine("llm", Testing::MakeEngine(16));
   table.SetList({same_hall, MakeTarget("2", "there")}, START);
-  table.OnLoad(MakeLoad(same_hall, 8), START);
+  table.OnLoadReport(MakeLoad(same_hall, 8), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START));
   CHECK(!table.NeedsOtherHalls(START));
-  table.OnLoad(MakeLoad(same_hall, 20), START);
+  table.OnLoadReport(MakeLoad(same_hall, 20), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START));
   CHECK(table.NeedsOtherHalls(START));
   CHECK(!table.NeedsOtherHalls(START + Milliseconds(5000)));
@@ -208,7 +208,7 @@
   table.SetEngine("llm", Testing::MakeEngine(16));
   table.SetList(list, START);
   table.SetGateways({60, 2});
-  std::vector<Common::Address> used = table.Used();
+  std::vector<Common::Address> used = table.UsedAddresses();
   CHECK(used.size() < 12);
   CHECK(table.IsUsed(list[0].address));
   for (ListedTarget& target : list)
--- a/Source/UnitTests/Core/Gateway/TargetIncarnationsTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetIncarnationsTest.cpp
@@ -17,10 +17,10 @@
   f.table.SetList({f.one, f.two}, f.now);
   TargetLoad load = MakeLoad(f.one, 3);
   load.incarnation = 1000;
-  f.table.OnLoad(load, f.now);
+  f.table.OnLoadReport(load, f.now);
   f.table.OnDispatched("1", 7, 1000, Milliseconds(100), f.now);
   f.table.OnFailed("1", f.now);
-  REQUIRE(f.table.OwnWorkAt("1").requests == 1);
+  REQUIRE(f.table.WorkAt("1").requests == 1);
   ListedTarget again = f.one;
   again.incarnation = 2000;
 
@@ -28,24 +28,24 @@
   {
     again.weights_version = 0;
     f.table.SetList({again, f.two}, f.now);
-    CHECK(f.table.OwnWorkAt("1").requests == 0);
+    CHECK(f.table.WorkAt("1").requests == 0);
     CHECK(f.table.WeightsAt("1") == 0);
     CHECK_FALSE(f.table.IsSameIncarnation("1", 1000));
-    CHECK(f.table.SurveyOf({"llm", 1000, 100, {}, {}}, f.now).avoided == 0);
+    CHECK(f.table.SummaryOf({"llm", 1000, 100, {}, {}}, f.now).avoided == 0);
   }
   SUBCASE("also when it was absent from the target list in the meantime")
   {
     f.table.SetList({f.two}, f.now);
     REQUIRE(f.table.Size() == 2);
     f.table.SetList({again, f.two}, f.now);
-    CHECK(f.table.OwnWorkAt("1").requests == 0);
-    CHECK(f.table.SurveyOf({"llm", 1000, 100, {}, {}}, f.now).avoided == 0);
+    CHECK(f.table.WorkAt("1").requests == 0);
+    CHECK(f.table.SummaryOf({"llm", 1000, 100, {}, {}}, f.now).avoided == 0);
   }
   SUBCASE("reports on the earlier incarnation are ignored")
   {
     again.weights_version = 0;
     f.table.SetList({again, f.two}, f.now);
-    f.table.OnLoad(load, f.now);
+    f.table.OnLoadReport(load, f.now);
     CHECK(f.table.WeightsAt("1") == 0);
     f.table.SetList({f.one, f.two}, f.now);
     CHECK(f.table.WeightsAt("1") == 0);
@@ -55,10 +55,10 @@
   {
     load.incarnation = 2000;
     load.weights_version = 0;
-    f.table.OnLoad(load, f.now);
+    f.table.OnLoadReport(load, f.now);
     CHECK(f.table.IsSameIncarnation("1", 2000));
     CHECK(f.table.WeightsAt("1") == 0);
-    CHECK(f.table.OwnWorkAt("1").requests == 0);
+    CHECK(f.table.WorkAt("1").requests == 0);
   }
 }
 
@@ -70,8 +70,8 @@
   foreign.id = "foreign";
   foreign.service = "unknown";
   f.table.SetList({f.one, f.two, foreign}, f.now);
-  f.table.OnLoad(MakeLoad(f.one, 0), f.now);
-  f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+  f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
   CHECK(f.Choose()->id == "1");
   CHECK(f.table.FindByAddress(f.one.address) == "1");
 }
--- a/Source/UnitTests/Core/Gateway/TargetTableFixture.h
+++ b/Source/UnitTests/Core/Gateway/TargetTableFixture.h
@@ -44,7 +44,7 @@
     table.SetEngine("llm", Testing::MakeEngine(16));
     table.SetList({one, two}, START);
   }
-  std::optional<TargetChoice> Choose(const TargetWish& query = {"llm", 1000, 100, {}, {}})
+  std::optional<TargetChoice> Choose(const TargetQuery& query = {"llm", 1000, 100, {}, {}})
   {
     return table.Choose(query, now);
   }
--- a/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTableTest.cpp
@@ -15,8 +15,8 @@
 TEST_CASE("The target that would start the request first is chosen")
 {
   Fixture f;
-  f.table.OnLoad(MakeLoad(f.one, 16), f.now);
-  f.table.OnLoad(MakeLoad(f.two, 3), f.now);
+  f.table.OnLoadReport(MakeLoad(f.one, 16), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 3), f.now);
   CHECK(f.Choose()->id == "2");
 
   SUBCASE("requests that this gateway sent after the report are added to the reported load")
@@ -40,14 +40,14 @@
   {
     TargetLoad load = MakeLoad(f.two, 0);
     load.is_switching = true;
-    f.table.OnLoad(load, f.now);
+    f.table.OnLoadReport(load, f.now);
     CHECK(f.Choose()->id == "1");
   }
   SUBCASE("a target without weights gets nothing")
   {
     f.two.weights_version = 0;
     f.table.SetList({f.one, f.two}, f.now);
-    f.table.OnLoad(MakeLoad(f.two, 0), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 0), f.now);
     CHECK(f.Choose()->id == "1");
   }
   SUBCASE("a target that left the list is not chosen, and is removed when its last request ends")
@@ -68,10 +68,10 @@
   const ListedTarget other_hall = MakeTarget("2", "there");
   table.SetEngine("llm", Testing::MakeEngine(16));
   table.SetList({same_hall, other_hall}, START);
-  table.OnLoad(MakeLoad(same_hall, 8), START);
-  table.OnLoad(MakeLoad(other_hall, 8), START);
+  table.OnLoadReport(MakeLoad(same_hall, 8), START);
+  table.OnLoadReport(MakeLoad(other_hall, 8), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START)->id == "1");
-  table.OnLoad(MakeLoad(same_hall, 17), START);
+  table.OnLoadReport(MakeLoad(same_hall, 17), START);
   CHECK(table.Choose({"llm", 1000, 100, {}, {}}, START)->id == "2");
 }
 
@@ -79,7 +79,7 @@
 {
   Fixture f;
   f.table.SetGateways({7, 7});
-  f.table.OnLoad(MakeLoad(f.two, 5), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 5), f.now);
   for (std::uint64_t i = 0; i < 3; ++i)
     f.table.OnDispatched("1", i, 0, Milliseconds(100), f.now);
   // If each of the seven gateways sent three requests, the target has 21: more than its slots.
@@ -89,8 +89,8 @@
 TEST_CASE("A target that answers late is chosen less often")
 {
   Fixture f;
-  f.table.OnLoad(MakeLoad(f.one, 0), f.now);
-  f.table.OnLoad(MakeLoad(f.two, 4), f.now);
+  f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 4), f.now);
   REQUIRE(f.Choose()->id == "1");
   f.table.OnDispatched("1", 7, 1000, Milliseconds(150), f.now);
 
@@ -104,12 +104,12 @@
     f.now += Milliseconds(900);
     f.table.OnStarted("1", 7, 1000, f.now);
     f.table.OnEnded("1", 7, 0);
-    f.table.OnLoad(MakeLoad(f.one, 0), f.now);
-    f.table.OnLoad(MakeLoad(f.two, 4), f.now);
+    f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 4), f.now);
     CHECK(f.Choose()->id == "2");
     f.now += Milliseconds(15000);
-    f.table.OnLoad(MakeLoad(f.one, 0), f.now);
-    f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+    f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
     CHECK(f.Choose()->id == "1");
   }
   SUBCASE("not after its answer arrived on time")
@@ -117,7 +117,7 @@
     f.now += Milliseconds(120);
     f.table.OnStarted("1", 7, 1000, f.now);
     f.table.OnEnded("1", 7, 0);
-    f.table.OnLoad(MakeLoad(f.one, 0), f.now);
+    f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
     CHECK(f.Choose()->id == "1");
   }
 }
@@ -134,16 +134,16 @@
   {
     delayed.inbound_delay = Milliseconds(1700);
   }
-  f.table.OnLoad(delayed, f.now);
-  f.table.OnLoad(MakeLoad(f.two, 16), f.now);
+  f.table.OnLoadReport(delayed, f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 16), f.now);
   CHECK(f.Choose()->id == "2");
 }
 
 TEST_CASE("A target that failed is avoided, for longer after each consecutive failure")
 {
   Fixture f;
-  f.table.OnLoad(MakeLoad(f.one, 0), f.now);
-  f.table.OnLoad(MakeLoad(f.two, 10), f.now);
+  f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 10), f.now);
   f.table.OnFailed("1", f.now);
   CHECK(f.Choose()->id == "2");
   CHECK(f.table.Choose({"llm", 1000, 100, {}, {}}, f.now + Milliseconds(300))->id == "1");
@@ -154,26 +154,26 @@
 TEST_CASE("A target whose agent has stopped reporting may be disconnected")
 {
   Fixture f;
-  f.table.OnLoad(MakeLoad(f.one, 0), f.now);
+  f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
   f.now += Milliseconds(900);
-  f.table.OnLoad(MakeLoad(f.two, 8), f.now);
+  f.table.OnLoadReport(MakeLoad(f.two, 8), f.now);
   SUBCASE("another target is preferred")
   {
     CHECK(f.Choose()->id == "2");
   }
   SUBCASE("it is used if the other target is full")
   {
-    f.table.OnLoad(MakeLoad(f.two, 30), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 30), f.now);
     CHECK(f.Choose()->id == "1");
   }
   SUBCASE("after a request could not be sent to it, it is avoided until its agent reports again")
   {
-    f.table.OnLoad(MakeLoad(f.two, 30), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 30), f.now);
     f.table.OnFailed("1", f.now);
     f.now += Milliseconds(700);
-    f.table.OnLoad(MakeLoad(f.two, 30), f.now);
+    f.table.OnLoadReport(MakeLoad(f.two, 30), f.now);
     CHECK(f.Choose()->id == "2");
-    f.table.OnLoad(MakeLoad(f.one, 0), f.now);
+    f.table.OnLoadReport(MakeLoad(f.one, 0), f.now);
     CHECK(f.Choose()->id == "1");
   }
 }
--- a/Source/UnitTests/Core/Gateway/TargetTimesTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetTimesTest.cpp
@@ -16,7 +16,7 @@
   Common::TimePoint now = START;
   table.SetEngine("llm", engine);
   table.SetList({one}, now);
-  table.OnLoad(MakeLoad(one, 0), now);
+  table.OnLoadReport(MakeLoad(one, 0), now);
   // Records `count` answers that start after `factor` times the published start time, and returns
   // the expected start in seconds.
   const auto answers = [&](double factor, int count)
--- a/Source/UnitTests/Core/Gateway/WaitLimitTest.cpp
+++ b/Source/UnitTests/Core/Gateway/WaitLimitTest.cpp
@@ -11,7 +11,7 @@
 {
   static constexpr Milliseconds PASS = Milliseconds(46);
   static constexpr Milliseconds START_GOAL = Milliseconds(280);
-  TargetSurvey survey;
+  TargetSummary survey;
   survey.listed = 4;
   SUBCASE("it waits for one pass while targets are full or have failed recently")
   {
@@ -25,14 +25,14 @@
   SUBCASE("it waits longer while all targets load weights, but can still begin in time afterwards")
   {
     survey.switching = 4;
-    survey.switching_room = 2;
+    survey.switching_capacity = 2;
     CHECK(MaxWait(survey, 1, PASS, START_GOAL) > PASS);
     CHECK(MaxWait(survey, 1, PASS, START_GOAL) < START_GOAL);
   }
   SUBCASE("only as many requests wait as the targets that load weights can run afterwards")
   {
     survey.switching = 4;
-    survey.switching_room = 2;
+    survey.switching_capacity = 2;
     CHECK(MaxWait(survey, 2, PASS, START_GOAL) > PASS);
     CHECK(MaxWait(survey, 3, PASS, START_GOAL) == Milliseconds(0));
   }
@@ -43,7 +43,7 @@
     survey.listed = 200;
     survey.old_weights = 199;
     survey.switching = 1;
-    survey.switching_room = 8.0 / 150;
+    survey.switching_capacity = 8.0 / 150;
     CHECK(MaxWait(survey, 1, PASS, START_GOAL) == Milliseconds(0));
   }
   SUBCASE("it does not wait when nothing is about to change")
@@ -64,7 +64,7 @@
 
 TEST_CASE("The reason of a refusal shows whether targets lack capacity or weights")
 {
-  TargetSurvey survey;
+  TargetSummary survey;
   survey.listed = 4;
   survey.open = 1;
   survey.switching = 3;
--- a/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
@@ -29,7 +29,7 @@
     ReadReport(2, 0);
     Reports();
   }
-  void Receive(const Mesh::Sender& from, bool wants_load, const Gateway::OwnDemand& demand = {})
+  void Receive(const Mesh::Sender& from, bool wants_load, const Gateway::DemandReport& demand = {})
   {
     Mesh::Hello hello;
     hello.is_gateway = true;
@@ -135,8 +135,8 @@
   f.now += Milliseconds(100);
   f.ReadReport(2, 0);
   Gateway::GatewayDemand demand = f.Reports().at(LOCAL_GATEWAY.address).demand;
-  CHECK(demand.near_per_second == 40);
-  CHECK(demand.far_per_second == 0);
+  CHECK(demand.same_hall_per_second == 40);
+  CHECK(demand.other_halls_per_second == 0);
   CHECK(demand.refused_share == doctest::Approx(0.4));
 
   SUBCASE("including gateways of other halls that need every report")
@@ -145,7 +145,7 @@
     f.now += Milliseconds(100);
     f.ReadReport(2, 0);
     demand = f.Reports().at(LOCAL_GATEWAY.address).demand;
-    CHECK(demand.far_per_second == 40);
+    CHECK(demand.other_halls_per_second == 40);
     CHECK(demand.refused_share == doctest::Approx(0.2));
   }
 }
--- a/Source/UnitTests/Peers/MeshCodecTest.cpp
+++ b/Source/UnitTests/Peers/MeshCodecTest.cpp
@@ -92,7 +92,7 @@
   }
   SUBCASE("the work of a gateway")
   {
-    CHECK(There(Mesh::WorkUpdate{{3, 4200}}).work == Gateway::OwnWork{3, 4200});
+    CHECK(There(Mesh::WorkUpdate{{3, 4200}}).work == Gateway::GatewayWork{3, 4200});
   }
   SUBCASE("pieces and their announcement")
   {
