--- a/Source/Core/Control/ControlFollower.h
+++ b/Source/Core/Control/ControlFollower.h
@@ -11,7 +11,7 @@
 #include "Common/Error.h"
 #include "Core/Control/ControlMessages.h"
 #include "Core/Control/NamedVersions.h"
-#include "Core/Control/NamingWatch.h"
+#include "Core/Control/NamingTracker.h"
 #include "Core/Control/TargetList.h"
 
 // Follows the settings and the target list of the platform: decides when to read them and keeps the
--- a/Source/Core/Control/NamingWatch.cpp
+++ b/Source/Core/Control/NamingTracker.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Control/NamingWatch.h"
+#include "Core/Control/NamingTracker.h"
 
 #include <algorithm>
 
--- a/Source/Core/Control/ReaderDuty.cpp
+++ b/Source/Core/Control/ReaderElection.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Control/ReaderDuty.h"
+#include "Core/Control/ReaderElection.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -13,7 +13,7 @@
 
 #include "Common/Types.h"
 #include "Core/Distribution/Actions.h"
-#include "Core/Distribution/LinkWatch.h"
+#include "Core/Distribution/LinkTracker.h"
 #include "Core/Distribution/Manifest.h"
 #include "Core/Distribution/PieceSet.h"
 #include "Core/Distribution/Ranking.h"
--- a/Source/Core/Distribution/Uploads.h
+++ b/Source/Core/Distribution/Uploads.h
@@ -8,7 +8,7 @@
 #include "Common/Types.h"
 #include "Core/Distribution/Actions.h"
 #include "Core/Distribution/LinkBudget.h"
-#include "Core/Distribution/LinkWatch.h"
+#include "Core/Distribution/LinkTracker.h"
 
 // The queue of pieces that peers have requested. Pieces are sent in order within the link's budget.
 namespace Holdpost::Distribution
--- a/Source/Core/Gateway/DeadlineWatch.cpp
+++ b/Source/Core/Gateway/DeadlineTracker.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Gateway/DeadlineWatch.h"
+#include "Core/Gateway/DeadlineTracker.h"
 
 #include <algorithm>
 
--- a/Source/Core/Gateway/DemandWatch.cpp
+++ b/Source/Core/Gateway/DemandTracker.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Gateway/DemandWatch.h"
+#include "Core/Gateway/DemandTracker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/Source/Core/Gateway/DemandWatch.h
+++ b/Source/Core/Gateway/DemandTracker.h
@@ -7,7 +7,7 @@
 
 #include "Common/Types.h"
 #include "Core/Gateway/Target.h"
-#include "Core/Gateway/TargetReach.h"
+#include "Core/Gateway/TargetSubset.h"
 
 // Tracks the rates of arrivals and refusals at this gateway, and at all gateways that send to the
 // same targets.
--- a/Source/Core/Gateway/Gateway.h
+++ b/Source/Core/Gateway/Gateway.h
@@ -13,14 +13,14 @@
 #include <vector>
 
 #include "Common/Metrics.h"
-#include "Core/Gateway/DeadlineWatch.h"
+#include "Core/Gateway/DeadlineTracker.h"
 #include "Core/Gateway/Messages.h"
 #include "Core/Gateway/RequestLog.h"
 #include "Core/Gateway/RetryAllowance.h"
 #include "Core/Gateway/RouteTable.h"
+#include "Core/Gateway/SwitchDeadlines.h"
 #include "Core/Gateway/TargetTable.h"
 #include "Core/Gateway/TrackedRequest.h"
-#include "Core/Gateway/WeightsBounds.h"
 #include "Core/Routing/FairQueue.h"
 #include "Core/Settings/Document.h"
 
--- a/Source/Core/Gateway/WeightsBounds.cpp
+++ b/Source/Core/Gateway/SwitchDeadlines.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Gateway/WeightsBounds.h"
+#include "Core/Gateway/SwitchDeadlines.h"
 
 #include <algorithm>
 
--- a/Source/Core/Gateway/TargetReach.cpp
+++ b/Source/Core/Gateway/TargetSubset.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Gateway/TargetReach.h"
+#include "Core/Gateway/TargetSubset.h"
 
 #include <algorithm>
 #include <map>
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -13,12 +13,12 @@
 
 #include "Common/Types.h"
 #include "Core/Control/NamedVersions.h"
-#include "Core/Gateway/DemandWatch.h"
+#include "Core/Gateway/DemandTracker.h"
 #include "Core/Gateway/EngineCorrection.h"
 #include "Core/Gateway/SpreadChoice.h"
 #include "Core/Gateway/StartEstimate.h"
 #include "Core/Gateway/Target.h"
-#include "Core/Gateway/TargetReach.h"
+#include "Core/Gateway/TargetSubset.h"
 
 // The targets that a gateway may call, their load and health as far as they are known, and the
 // choice between them.
--- a/Source/Core/Mesh/Briefing.cpp
+++ b/Source/Core/Mesh/BriefingSender.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Mesh/Briefing.h"
+#include "Core/Mesh/BriefingSender.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/Core/Mesh/GatewayMembership.h
+++ b/Source/Core/Mesh/GatewayMembership.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "Common/Types.h"
-#include "Core/Gateway/TargetReach.h"
+#include "Core/Gateway/TargetSubset.h"
 #include "Core/Mesh/GatewayCount.h"
 #include "Core/Mesh/GatewayDirectory.h"
 #include "Core/Mesh/HallGateways.h"
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -14,7 +14,7 @@
 #include "Core/Mesh/MeshMessages.h"
 #include "Core/Mesh/SeedSearch.h"
 #include "Core/Sidecar/EngineMessages.h"
-#include "Core/Sidecar/StageKeeper.h"
+#include "Core/Sidecar/StageManager.h"
 #include "Core/Sidecar/SwitchSchedule.h"
 #include "Core/Sidecar/WeightsLoader.h"
 
--- a/Source/Core/Sidecar/StageKeeper.cpp
+++ b/Source/Core/Sidecar/StageManager.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Core/Sidecar/StageKeeper.h"
+#include "Core/Sidecar/StageManager.h"
 
 #include <algorithm>
 
--- a/Source/Node/GatewayControl.h
+++ b/Source/Node/GatewayControl.h
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "Common/EventLoop.h"
-#include "Core/Control/AnswerPacing.h"
+#include "Core/Control/AnswerThrottle.h"
 #include "Core/Control/ControlFollower.h"
 #include "Core/Control/PeerQuery.h"
-#include "Core/Control/ReaderDuty.h"
-#include "Core/Mesh/Briefing.h"
+#include "Core/Control/ReaderElection.h"
+#include "Core/Mesh/BriefingSender.h"
 #include "Core/Mesh/GatewayMembership.h"
 #include "Node/GatewayConfig.h"
 #include "Peers/Control/ControlPlane.h"
--- a/Source/UnitTests/Core/Control/AnswerPacingTest.cpp
+++ b/Source/UnitTests/Core/Control/AnswerThrottleTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <doctest/doctest.h>
 
-#include "Core/Control/AnswerPacing.h"
+#include "Core/Control/AnswerThrottle.h"
 
 using namespace Holdpost;
 using Common::Milliseconds;
--- a/Source/UnitTests/Core/Control/ReaderDutyTest.cpp
+++ b/Source/UnitTests/Core/Control/ReaderElectionTest.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <vector>
 
-#include "Core/Control/ReaderDuty.h"
+#include "Core/Control/ReaderElection.h"
 
 using namespace Holdpost;
 using namespace Holdpost::Control;
--- a/Source/UnitTests/Core/Distribution/UploadsTest.cpp
+++ b/Source/UnitTests/Core/Distribution/UploadsTest.cpp
@@ -3,7 +3,7 @@
 
 #include <doctest/doctest.h>
 
-#include "Core/Distribution/LinkWatch.h"
+#include "Core/Distribution/LinkTracker.h"
 #include "Core/Distribution/Uploads.h"
 #include "Support/Actions.h"
 
--- a/Source/UnitTests/Core/Gateway/DeadlineWatchTest.cpp
+++ b/Source/UnitTests/Core/Gateway/DeadlineTrackerTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <doctest/doctest.h>
 
-#include "Core/Gateway/DeadlineWatch.h"
+#include "Core/Gateway/DeadlineTracker.h"
 
 using namespace Holdpost;
 using namespace Holdpost::Gateway;
--- a/Source/UnitTests/Core/Gateway/DemandWatchTest.cpp
+++ b/Source/UnitTests/Core/Gateway/DemandTrackerTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <doctest/doctest.h>
 
-#include "Core/Gateway/DemandWatch.h"
+#include "Core/Gateway/DemandTracker.h"
 
 using namespace Holdpost;
 using namespace Holdpost::Gateway;
--- a/Source/UnitTests/Core/Gateway/TargetReachTest.cpp
+++ b/Source/UnitTests/Core/Gateway/TargetSubsetTest.cpp
@@ -6,7 +6,7 @@
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
-#include "Core/Gateway/TargetReach.h"
+#include "Core/Gateway/TargetSubset.h"
 
 using namespace Holdpost;
 using namespace Holdpost::Gateway;
--- a/Source/UnitTests/Core/Mesh/BriefingTest.cpp
+++ b/Source/UnitTests/Core/Mesh/BriefingSenderTest.cpp
@@ -3,7 +3,7 @@
 
 #include <doctest/doctest.h>
 
-#include "Core/Mesh/Briefing.h"
+#include "Core/Mesh/BriefingSender.h"
 #include "Core/Mesh/GatewayCount.h"
 
 using namespace Holdpost;
--- a/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <doctest/doctest.h>
 
-#include "Core/Mesh/Briefing.h"
+#include "Core/Mesh/BriefingSender.h"
 #include "Core/Sidecar/Sidecar.h"
 #include "Support/Actions.h"
 
--- a/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarWorld.cpp
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 
 #include "Core/Distribution/Manifest.h"
-#include "Core/Mesh/Briefing.h"
+#include "Core/Mesh/BriefingSender.h"
 
 namespace Holdpost::Testing
 {
--- a/Source/UnitTests/Core/Sidecar/StageTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/StageTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <doctest/doctest.h>
 
-#include "Core/Sidecar/StageKeeper.h"
+#include "Core/Sidecar/StageManager.h"
 #include "Core/Sidecar/SwitchSchedule.h"
 #include "Core/Sidecar/WeightsLoader.h"
 #include "Support/Actions.h"
