--- a/Source/Core/Gateway/StartEstimate.h
+++ b/Source/Core/Gateway/StartEstimate.h
@@ -27,7 +27,8 @@
 // Time from the first event to the last one.
 Common::Duration ExpectedGeneration(const Settings::EngineProfile& engine, const TargetWork& work,
                                     std::uint32_t answer_tokens);
-// The part of a full engine's time that a request uses.
+// How much of an engine's time a request uses while all slots are in use. Its answer shares the
+// engine with those in the other slots; its prompt does not.
 Common::Duration EngineTime(const Settings::EngineProfile& engine, std::uint32_t prompt_tokens,
                             std::uint32_t answer_tokens);
 // Mean time between the ends of two consecutive requests on a full engine. A waiting request gets
--- a/Source/Core/Gateway/TargetTable.cpp
+++ b/Source/Core/Gateway/TargetTable.cpp
@@ -26,9 +26,9 @@
 // A target that has answered that it is full is avoided until it has probably finished a request.
 static constexpr Duration FULL_AVOID_TIME = Milliseconds(60);
 // After a start of all machines, the target list names engines that have ended, until their records
-// lapse after three heartbeats of 1.2 s. Their agents report the engines that replaced them, or do
-// not report. Until it has been known for this time, a listed target without a report gets no
-// requests while other agents report.
+// expire after three heartbeat intervals of 1.2 s. Their agents report the engines that replaced
+// them, or do not report. Until it has been known for this time, a listed target without a report
+// gets no requests while other agents report.
 static constexpr Duration MAX_UNREPORTED_TIME = Milliseconds(4000);
 // Agents report several times a second: an agent that has been silent for this time may be
 // disconnected, and its target with it. Such a target is avoided for longer once a request could
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -30,7 +30,8 @@
   std::uint64_t version = 0;
   Common::TimePoint due = Common::TimePoint::max();
   Control::KnownSince since = {};
-  // The gateway looks for sent requests that may start with older weights until this time.
+  // Until this time, the gateway looks for requests that it has sent and that may still start with
+  // older weights.
   Common::TimePoint sweep_until = {};
 };
 
@@ -98,7 +99,7 @@
   std::uint32_t without_weights = 0;
   // Targets on the target list whose agents have not reported yet, while other agents have.
   std::uint32_t unreported = 0;
-  // Targets that would start the request with weights that are too old at that time.
+  // Targets that may start the request after a switch deadline without having its version.
   std::uint32_t old_weights = 0;
 };
 
@@ -191,7 +192,7 @@
   // All targets that are listed and not replaced.
   std::vector<ListedTarget> Listed() const;
   // IsUsed() tells whether the listed target at the address belongs to the subset that this gateway
-  // uses. Used() returns the addresses of all targets of the subset that have agents.
+  // uses. UsedAddresses() returns the addresses of all targets of the subset that have agents.
   bool IsUsed(const Common::Address& address) const;
   std::vector<Common::Address> UsedAddresses() const;
   // Whether targets of other halls are needed, because the best target of this hall would start a
@@ -254,7 +255,7 @@
     Settings::EngineProfile corrected;
   };
 
-  // Resets a target that has restarted under its id: all that is known describes the earlier
+  // Resets a target that has restarted under the same id: all that is known describes the earlier
   // incarnation.
   static void BeginIncarnation(Target& target, std::uint64_t incarnation, Common::TimePoint now);
   bool IsKnownService(const std::string& service) const
@@ -290,8 +291,7 @@
   {
     std::vector<TargetChoice> choices;
     std::vector<SpreadOption> options;
-    // The sum over all candidates of the time by which one more request delays the next one at that
-    // target.
+    // How long one more request delays the next one at a candidate, summed over all candidates.
     Common::Duration sum_of_delays{};
   };
   SpreadParameters SpreadParametersFor(const TargetQuery& query, const Candidates& candidates,
@@ -318,10 +318,11 @@
   void UpdateCrowding(const TargetQuery& query, const std::vector<SpreadOption>& options,
                       Common::TimePoint now);
   std::uint64_t WeightsOf(const Target& target) const;
-  // The time that is added to twice the expected start time to get the latest start of a request at
-  // the target.
+  // A request is assumed to start at the target after at most twice the expected time plus this
+  // margin.
   Common::Duration StartMargin(const Target& target, Common::TimePoint now) const;
-  // Whether a request that is sent now would start with weights that are new enough at that time.
+  // Whether a request that is sent now, even if it starts late, would start with weights that meet
+  // all switch deadlines that are due by its start.
   bool MeetsSwitchDeadlines(const Target& target, const TargetQuery& query, Common::Duration start,
                             Common::TimePoint now) const;
   Common::Duration ExpectedStartAt(const Target& target, std::uint32_t prompt_tokens,
@@ -329,7 +330,7 @@
   Common::Duration LagOf(const Target& target, Common::TimePoint now) const;
   static Common::Duration NetworkDelayTo(const Target& target);
   // Whether the target's agent has not reported since the target became known to this gateway,
-  // while other agents report. The target has then probably ended, and its record has not lapsed
+  // while other agents report. The target has then probably ended, and its record has not expired
   // yet.
   bool IsUnreported(const Target& target, Common::TimePoint now) const;
   // Whether the target's agent has reported before, but has stopped reporting.
@@ -345,8 +346,8 @@
   };
   Availability AvailabilityOf(const Target& target, Common::TimePoint now) const;
   bool IsOpen(const Target& target, Common::TimePoint now) const;
-  // The time by which a request that starts at the target now would delay the target's planned
-  // switch to another version of the weights.
+  // How long the request, if it is sent to the target now, would delay the target's planned switch
+  // to another version of the weights.
   Common::Duration SwitchDelay(const Target& target, const TargetQuery& query,
                                Common::TimePoint now) const;
 
--- a/Source/Core/Gateway/TargetTimes.cpp
+++ b/Source/Core/Gateway/TargetTimes.cpp
@@ -5,8 +5,8 @@
 
 #include "Common/EventLog.h"
 
-// The time that targets of a service take: from the published engine profile, and as measured from
-// their answers.
+// How long the targets of a service take for requests: according to the published engine profile,
+// and as measured from their answers.
 namespace Holdpost::Gateway
 {
 using Common::Duration;
--- a/Source/UnitTests/Core/Gateway/SpreadChoiceTest.cpp
+++ b/Source/UnitTests/Core/Gateway/SpreadChoiceTest.cpp
@@ -38,7 +38,8 @@
 {
   // The cheapest target takes 20 ms before its cost reaches that of the next one.
   CHECK(Chosen({0.4, 0, COST_PER_REQUEST, PENALTY})[1] == 100);
-  // 100 ms of work raise the level to 156.7 ms. The first three targets take 6.7, 56.7 and 36.7 ms.
+  // The arrivals bring 100 ms of work, which raises the cost of the cheapest targets to a common
+  // level of 156.7 ms. The first three targets take 6.7, 56.7 and 36.7 ms of the work.
   const auto chosen = Chosen({2, 0, COST_PER_REQUEST, PENALTY});
   CHECK(chosen[0] == 7);
   CHECK(chosen[1] == 56);
