--- a/Source/Core/Control/ControlFollower.h
+++ b/Source/Core/Control/ControlFollower.h
@@ -25,7 +25,7 @@
   // How long one read of the operators' changes waits for the next change (long poll).
   Common::Milliseconds long_poll{2500};
   // The age that a version named before the start of this process is assumed to have at the start,
-  // until a process that saw the naming reports its age.
+  // until a process that observed the naming reports its age.
   Common::Milliseconds assumed_age{0};
 };
 
@@ -90,8 +90,8 @@
   const std::map<std::string, NamedVersions>& Weights() const { return m_weights; }
   std::vector<Gateway::ListedTarget> Targets() const { return m_targets.All(); }
   bool HasTargets() const { return m_targets.IsKnown(); }
-  // Whether the platform has answered both reads since the start. There may be no settings yet;
-  // processes that follow this one do not have to request them from the platform too.
+  // Whether the platform has answered both reads since the start, even if it has no settings yet.
+  // If so, processes that follow this one do not have to request them from the platform too.
   bool HasReadAll() const { return m_has_read_operator && m_has_read_targets; }
   // The position up to which the target list is known, and the position of its last change.
   Position TargetsPosition() const { return m_targets.KnownPosition(); }
--- a/Source/Core/Control/NamedVersions.h
+++ b/Source/Core/Control/NamedVersions.h
@@ -14,8 +14,8 @@
 struct KnownSince
 {
   Common::TimePoint time{};
-  // No process that saw the naming itself has reported its time; `time` is the earliest time that
-  // matters for the switch deadline.
+  // No process that observed the naming has reported its time, so `time` is assumed: it is the
+  // earliest time that matters for the switch deadline.
   bool is_assumed = false;
 
   bool operator==(const KnownSince&) const = default;
@@ -35,8 +35,8 @@
 class NamedVersions
 {
 public:
-  // Returns whether the known state changes: the version is new, or its naming time is now known
-  // better. Versions older than those that are kept are ignored.
+  // Returns whether the known state changes: the version is new, or the offered time replaces the
+  // known one. Versions older than those that are kept are ignored.
   bool Offer(const KnownVersion& offered);
   bool IsKnown(std::uint64_t version) const;
   // All kept versions, oldest first.
--- a/Source/Core/Control/NamingTracker.h
+++ b/Source/Core/Control/NamingTracker.h
@@ -25,11 +25,12 @@
 
   // Records the start of the process; later calls have no effect.
   void Begin(Common::TimePoint now);
-  // The platform is asked for its target list, which it answers immediately, or has answered.
+  // Record that the platform is asked for its target list, and that it has answered. It answers
+  // such requests immediately.
   void OnListRequested(Common::TimePoint now);
   void OnListAnswered(Common::TimePoint now);
-  // The platform is asked for the operators' changes: for the newest state, or for changes since a
-  // position.
+  // Records that the platform is asked for the operators' changes: for the newest state, or for
+  // changes since a position.
   void OnOperatorRequested(bool is_newest, Common::TimePoint now);
   void OnOperatorFailed(Common::TimePoint now);
   void OnOperatorAnswered(Common::TimePoint now);
@@ -48,9 +49,10 @@
 
   Common::Milliseconds m_assumed_age;
   std::optional<Common::TimePoint> m_started_at;
-  // The times up to which all named versions are known: from any source, and from this process's
-  // own reads.
+  // All versions that were named until this time are known, from whatever source.
   std::optional<Common::TimePoint> m_announced_until;
+  // The value of `m_announced_until` after the last answer to this process's reads of the
+  // operators' changes.
   std::optional<Common::TimePoint> m_read_until;
   bool m_has_failed = false;
   bool m_may_return_old_namings = true;
--- a/Source/Core/Control/PeerQuery.cpp
+++ b/Source/Core/Control/PeerQuery.cpp
@@ -8,8 +8,8 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// At a start, or when it stops answering, the platform gets this much time to answer before peers
-// are asked.
+// After the start of this process, and whenever the platform stops answering, the platform gets
+// this much time to answer before peers are asked.
 static constexpr Duration PLATFORM_HEAD_START = Milliseconds(300);
 static constexpr Duration PARTIAL_KNOWLEDGE_PERIOD = Milliseconds(400);
 static constexpr Duration WHOLE_KNOWLEDGE_PERIOD = Milliseconds(2000);
--- a/Source/Core/Control/TargetList.cpp
+++ b/Source/Core/Control/TargetList.cpp
@@ -157,7 +157,7 @@
     return false;
   if (is_whole)
     m_targets.clear();
-  // The process that read the list has already waited for the targets whose records lapsed.
+  // The process that read the list does the waiting for targets whose records lapsed.
   m_lapsed.clear();
   for (const TargetChange& change : update.changes)
   {
--- a/Source/Core/Control/TargetList.h
+++ b/Source/Core/Control/TargetList.h
@@ -9,7 +9,8 @@
 #include "Common/Types.h"
 #include "Core/Control/ControlMessages.h"
 
-// The platform's target list, as one process reads it for others and as the others follow it.
+// The platform's target list. One process reads it from the platform and forwards it to the
+// others; this class serves both.
 namespace Holdpost::Control
 {
 class TargetList
--- a/Source/Core/Mesh/BriefingSender.h
+++ b/Source/Core/Mesh/BriefingSender.h
@@ -41,8 +41,8 @@
 };
 
 // Keeps hellos small: the briefing goes only to sidecars that are new or report an outdated stamp.
-// The gateway that reads the platform sends a changed briefing first; the other gateways leave it
-// time for that.
+// The gateway that reads the platform sends a changed briefing first; the other gateways wait a
+// short time so that it can.
 class BriefingSender
 {
 public:
@@ -53,8 +53,9 @@
   }
 
   void SetSettings(Settings::DocumentVersion version) { m_settings = version; }
-  // Each of these is sent immediately if it has changed. `settings` and `changed` are the settings
-  // version and the target list position from which it was read.
+  // A changed value is sent immediately, except that a gateway that does not read the platform
+  // waits before it sends a changed plan or list of sidecars to known sidecars. `settings` and
+  // `changed` are the settings version and the target list position from which the value was read.
   void SetPlan(const WeightsPlan& plan, Settings::DocumentVersion settings, Common::TimePoint now);
   void SetSidecars(const std::vector<Peer>& sidecars, Control::Position changed,
                    Common::TimePoint now);
@@ -105,9 +106,10 @@
   Settings::DocumentVersion m_settings = 0;
   WeightsPlan m_plan;
   std::vector<Peer> m_sidecars;
-  // The stamp of the plan and the sidecars, and the time from which a gateway that does not read
-  // the platform may send them to sidecars that lack them.
+  // The stamp of the current briefing, that is, of the plan and the sidecars.
   BriefingStamp m_stamp;
+  // A gateway that does not read the platform sends a changed briefing to a known sidecar only if
+  // the sidecar has reported an outdated stamp at or after this time.
   Common::TimePoint m_non_reader_due{};
   std::map<std::string, Control::NamedVersions> m_weights;  // by model
   std::map<Common::Address, SidecarState> m_sidecar_states; // sidecars of the local hall
--- a/Source/Core/Mesh/MeshMessages.h
+++ b/Source/Core/Mesh/MeshMessages.h
@@ -37,7 +37,7 @@
 {
   Control::NamedWeights named;
   Common::Milliseconds known{0};
-  // Whether the age is assumed because no process that saw the naming itself has reported it.
+  // Whether the age is assumed because no process that observed the naming has reported it.
   bool is_assumed = false;
 
   static AdvertisedVersion Of(const std::string& model, std::uint64_t version,
@@ -76,8 +76,8 @@
   auto operator<=>(const Peer&) const = default;
 };
 
-// The versions of the state from which a briefing, which is a weights plan and a list of peers, was
-// read. Neither of them decreases.
+// A briefing consists of a weights plan and a list of peers. Its stamp holds the versions of the
+// state from which they were read; neither version decreases.
 struct BriefingStamp
 {
   // The settings version that last changed the plan, and the position of the last change in the
--- a/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
+++ b/Source/UnitTests/Core/Control/ControlFollowerTest.cpp
@@ -106,8 +106,8 @@
   CHECK(other.follower.OfferTargets(reader.follower.FullTargetList()));
   CHECK(other.follower.Targets() == reader.follower.Targets());
 
-  // Records that only confirm that a target is present are not changes, and nothing is missing
-  // without them.
+  // Records that only confirm that a target is present are not changes, so a process that does not
+  // receive them lacks nothing.
   CHECK_FALSE(
       reader.follower.OnTargetsRead(TargetsRead{false, {{"a", MakeTarget("a")}}, 9}, reader.now));
   CHECK(reader.follower.OnTargetsRead(
