--- a/Source/Core/Sidecar/EngineMessages.h
+++ b/Source/Core/Sidecar/EngineMessages.h
@@ -12,7 +12,7 @@
 #include "Core/Distribution/Actions.h"
 
 // Requests of a sidecar to the model engine on its machine, and the engine's answers. The engine
-// keeps staged pieces of weights and loads the staged weights when it receives a start order.
+// keeps staged pieces of weights and loads the staged weights when it receives a load order.
 namespace Holdpost::Sidecar
 {
 // The state that the engine reports.
@@ -39,7 +39,8 @@
 {
 };
 
-// Reads the id under which the engine appears in the target list from the given page of the engine.
+// Reads the id under which the engine appears in the target list. The engine serves it at the path
+// `page`.
 struct ReadIdentity
 {
   std::string page;
--- a/Source/Core/Sidecar/Sidecar.cpp
+++ b/Source/Core/Sidecar/Sidecar.cpp
@@ -52,9 +52,10 @@
 static constexpr Milliseconds MIN_PIECE_TIME = Milliseconds(5);
 static constexpr Milliseconds MIN_ORIGIN_PIECE_TIME = Milliseconds(2);
 // The lowest limit on the pieces that a member downloads from other members at once while the hall
-// lacks pieces. With more downloads on its link, the piece that the member fetches from the origin
-// takes as long as all of these, and the origin's link is idle. The limit grows with the hall: the
-// larger the hall, the less often a member fetches from the origin.
+// lacks pieces. More downloads would slow down the piece that the member fetches from the origin
+// over the same link: it would take as long as all of them together, and the origin's link would be
+// idle. The limit grows with the hall: the larger the hall, the less often a member fetches from
+// the origin.
 static constexpr std::uint32_t LOWEST_DOWNLOAD_LIMIT_WHILE_INCOMPLETE = 3;
 static constexpr std::uint32_t MEMBERS_PER_DOWNLOAD = 3;
 static constexpr Milliseconds MIN_CLAIM_LIFETIME = Milliseconds(300);
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -59,7 +59,8 @@
   Common::Result<Common::Bytes> result;
 };
 
-// Sends a message to a peer or gateway. A message with `is_small` set may be lost.
+// Sends a message to a peer or gateway. A message with `may_be_lost` set is sent as a
+// datagram if it fits into one, and may then be lost.
 struct SendMessage
 {
   Common::Address to;
@@ -155,7 +156,8 @@
   void OnBriefing(const Mesh::Hello& hello, Common::TimePoint now, Actions* actions);
   // Number of gateways in all halls, as the known gateways report it.
   std::uint32_t CountGateways() const;
-  // The arrivals at the gateways that send requests to this target.
+  // The arrivals at the gateways of this hall, and at those gateways of other halls that send
+  // requests to this target.
   Gateway::GatewayDemand TotalDemand() const;
   // The target's load from the engine's last report, updated with the work that gateways have
   // announced since then.
--- a/Source/Core/Sidecar/SidecarGateways.cpp
+++ b/Source/Core/Sidecar/SidecarGateways.cpp
@@ -15,8 +15,8 @@
 // Gateways send a hello to the sidecars of their hall every 400 ms. If no gateway of the hall has
 // sent a message for this time, the sidecar searches for one.
 static constexpr Milliseconds SEARCH_TIMEOUT = Milliseconds(900);
-// The number of gateways, of those that a seed names, that the sidecar asks for a briefing. It asks
-// more than one because a gateway may have just ended.
+// A seed answers with a list of gateways. The sidecar asks at most this number of them for a
+// briefing: more than one, because a gateway may have just ended.
 static constexpr std::size_t MAX_BRIEFING_REQUESTS = 2;
 
 void Sidecar::OnHello(const Mesh::Sender& from, const Mesh::Hello& hello, TimePoint now,
--- a/Source/Core/Sidecar/SidecarReports.cpp
+++ b/Source/Core/Sidecar/SidecarReports.cpp
@@ -64,8 +64,9 @@
 
 std::uint32_t Sidecar::CountGateways() const
 {
-  // The gateways that send requests to the target announce their work to the sidecar, and each of
-  // these gateways knows the gateways of its own hall.
+  // The sidecar may not know all gateways: those that send requests to the target announce their
+  // work to it, and others may not. Each known gateway reports the number of gateways in its hall,
+  // so the larger of the number known and the number reported is taken for each hall.
   std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> halls;
   for (const auto& [address, gateway] : m_gateways)
   {
--- a/Source/Core/Sidecar/SidecarVersions.cpp
+++ b/Source/Core/Sidecar/SidecarVersions.cpp
@@ -30,9 +30,10 @@
 
 Duration Sidecar::CopyTime() const
 {
-  // The copy time as a multiple of the time that the link alone needs for one copy. A switch waits
-  // for its copy in any case, and a smaller factor lets a sidecar that already has its copy start
-  // the switch.
+  // The copy time as a multiple of the time that the link alone needs for one copy. The planned
+  // switches begin one copy time after the version is named. The factor is small because a target
+  // whose copy is late waits for it in any case, while a larger factor would also delay the targets
+  // that already have their copy.
   static constexpr double LINK_TIME_FACTOR = 1.2;
   const double bytes = static_cast<double>(m_plan.pieces) * m_plan.piece_bytes;
   const auto rate =
--- a/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/LoadReportsTest.cpp
@@ -18,7 +18,8 @@
 const Mesh::Sender SECOND_LOCAL_GATEWAY{"front-2", "here", {"10.0.0.2", 7700}, 1};
 const Mesh::Sender REMOTE_GATEWAY{"front-3", "there", {"10.0.0.3", 7700}, 1};
 
-// A sidecar whose engine runs two requests, and three gateways, of which two need every report.
+// A sidecar whose engine runs two requests, and three gateways. Only the two gateways of the
+// sidecar's hall send requests to its target and therefore need every load report.
 struct Fixture
 {
   Fixture()
--- a/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarIdentityTest.cpp
@@ -14,7 +14,7 @@
 const Common::TimePoint START{std::chrono::hours(1)};
 const Mesh::Sender GATEWAY{"front-1", "here", {"10.0.0.1", 7700}, 1};
 
-// A sidecar that knows the page on which its engine reports its id.
+// A sidecar that knows the path at which its engine serves its id.
 struct Fixture
 {
   Fixture()
--- a/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarTest.cpp
@@ -235,7 +235,7 @@
   world.RunFor(Milliseconds(40000));
   for (std::size_t node = 0; node < world.Count(); ++node)
     CHECK(world.SidecarAt(node).PiecesHeld(2) == 96);
-  // The manifests and a few single pieces.
+  // The stages kept their content: only the manifests and a few single pieces are sent again.
   CHECK(world.CopiesBetweenNodes() - sent_before < 0.2 * static_cast<double>(world.Count()));
 }
 
--- a/Source/UnitTests/Core/Sidecar/SidecarVersionsTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarVersionsTest.cpp
@@ -98,9 +98,9 @@
     MESSAGE("one version: ", seconds_each(), " s each");
     CHECK(seconds_each() < 2.0);
   }
-  // Engines that wait for the second version alone would be out of service for 1.8 s, but an engine
-  // on a machine that is stalled in the meantime would start requests with weights that are too
-  // old.
+  // If the engines skipped version 2 and waited for version 3, each would be out of service for
+  // only 1.8 s. However, an engine on a machine that stalls during this wait would start requests
+  // with weights that are too old.
   SUBCASE("two versions within seconds: both are loaded")
   {
     world.RunFor(Milliseconds(3000));
