--- a/Source/Core/Distribution/LinkBudget.h
+++ b/Source/Core/Distribution/LinkBudget.h
@@ -13,8 +13,8 @@
 // Determines what limits the rate of a link.
 enum class LinkPacing
 {
-  // The operator grants a share of a faster link. A piece is sent when a link of the granted rate
-  // would have carried its last byte.
+  // The rate is the share of a faster link that the operator grants. A piece is sent whole, at
+  // the time at which a link of the granted rate would have carried its last byte.
   Budget,
   // The physical link has the rate. A piece is sent when the pieces before it have left the link,
   // and received bytes are delivered without a further delay.
--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -125,8 +125,8 @@
   // Cancels all fetches because the version is no longer wanted.
   void Stop(Actions* actions);
 
-  // Returns the earliest time at which OnTick may start a fetch that waits for this instance's
-  // turn.
+  // Returns the earliest time at which OnTick may start a fetch that waits for this instance's turn
+  // or, for the manifest, for the neighbours' announcements.
   Common::TimePoint NextTurnStart() const { return m_next_turn_start; }
   bool HasFetch(FetchId id) const { return m_fetches.contains(id); }
   const Common::Digest& Version() const { return m_version; }
@@ -152,7 +152,7 @@
   {
     PieceSet held;
     bool has_manifest = false;
-    // The neighbour is in another hall, and the hall divides its cross-hall transfers.
+    // Set for a neighbour in another hall if SwarmOptions::shares_cross_hall_fetches is set.
     bool is_remote = false;
     std::uint32_t outstanding = 0;
     std::uint32_t corrupt_pieces = 0;
@@ -203,7 +203,8 @@
   // no such neighbour may receive a request now.
   std::string SelectPeer(std::uint32_t piece, Common::TimePoint now, const std::string& except);
   bool MayRequestFrom(const Neighbour& neighbour, Common::TimePoint now) const;
-  // Returns whether the neighbour is not remote, holds the piece and may receive a request now.
+  // Returns whether the neighbour is not remote (see Neighbour::is_remote), holds the piece and may
+  // receive a request now.
   bool MayRequestPiece(const Neighbour& neighbour, std::uint32_t piece,
                        Common::TimePoint now) const;
   bool IsInOtherHall(const std::string& peer) const;
@@ -325,11 +326,11 @@
   std::vector<std::uint32_t> m_plan_position;
   // Time at which a new piece last arrived in the hall.
   Common::TimePoint m_last_piece_in_hall_at{};
-  // The plan position that follows the last piece that arrived in the hall, and the delay of the
-  // origin relative to the plan.
+  // One more than the highest plan position among the pieces that arrived in the hall since the
+  // plan was made, and the maximum delay, relative to the plan, of the arrivals that raised it.
   std::uint32_t m_plan_fetched_end = 0;
   Common::Duration m_origin_delay{};
-  // Earliest start of this instance's turn among the pieces that wait for it.
+  // See NextTurnStart(); TimePoint::max() if there is no such time.
   Common::TimePoint m_next_turn_start = Common::TimePoint::max();
   Common::TimePoint m_resync_due{};
   Common::TimePoint m_origin_hall_contact_at{};
--- a/Source/Core/Distribution/SwarmHalls.cpp
+++ b/Source/Core/Distribution/SwarmHalls.cpp
@@ -159,7 +159,9 @@
   // The members of the origin's hall fetch its pieces. Other halls wait longer while these members
   // answer.
   const bool is_answering = now - m_origin_hall_contact_at < HALL_SILENT_AFTER;
-  // Pieces that the local hall fetches in the meantime do not reset this time.
+  // An announcement from another hall of a piece that this instance lacks restarts this wait. A
+  // piece that the local hall fetches itself does not, except that the first one after an outage of
+  // the origin may (see OnPieceInHall).
   const Duration waited = now - std::max(m_last_outside_availability_at, m_view_confirmed_at);
   const bool is_idle = waited >= (is_answering ? REACHABLE_HALL_PATIENCES : SILENT_HALL_PATIENCES) *
                                      m_options.patience;
