--- a/Source/Core/Control/ControlFollower.cpp
+++ b/Source/Core/Control/ControlFollower.cpp
@@ -42,9 +42,9 @@
   Begin(now);
   if (!m_is_reader)
     return;
-  if (!m_is_reading_operator && now >= m_operator_due)
+  if (!m_is_reading_operator_changes && now >= m_operator_due)
   {
-    m_is_reading_operator = true;
+    m_is_reading_operator_changes = true;
     const bool has_state = m_operator_next > 0 && m_document;
     m_naming_tracker.OnOperatorRequested(!has_state, now);
     actions->push_back(ReadOperatorChanges{has_state ? m_operator_next : 0,
@@ -63,7 +63,7 @@
   TimePoint next = TimePoint::max();
   if (!m_is_reader)
     return next;
-  if (!m_is_reading_operator)
+  if (!m_is_reading_operator_changes)
     next = std::min(next, m_operator_due);
   if (!m_is_reading_targets)
     next = std::min(next, m_targets_due);
@@ -96,7 +96,7 @@
 
 bool ControlFollower::OnOperatorRead(const Result<OperatorChanges>& result, TimePoint now)
 {
-  m_is_reading_operator = false;
+  m_is_reading_operator_changes = false;
   if (const auto* error = std::get_if<Error>(&result))
   {
     m_naming_tracker.OnOperatorFailed(now);
--- a/Source/Core/Control/ControlFollower.h
+++ b/Source/Core/Control/ControlFollower.h
@@ -127,7 +127,7 @@
   Position m_targets_next = 0;
   bool m_is_reader = true;
   Common::TimePoint m_last_answer{};
-  bool m_is_reading_operator = false;
+  bool m_is_reading_operator_changes = false;
   bool m_is_reading_targets = false;
   bool m_has_read_operator = false;
   bool m_has_read_targets = false;
--- a/Source/Core/Control/NamedVersions.cpp
+++ b/Source/Core/Control/NamedVersions.cpp
@@ -29,9 +29,9 @@
   const auto place = std::ranges::lower_bound(m_known, offered.version, {}, &KnownVersion::version);
   if (place != m_known.end() && place->version == offered.version)
   {
-    KnownSince least = offered.since;
-    least.time += MIN_TIME_DIFFERENCE;
-    if (!least.Replaces(place->since))
+    KnownSince offered_with_margin = offered.since;
+    offered_with_margin.time += MIN_TIME_DIFFERENCE;
+    if (!offered_with_margin.Replaces(place->since))
       return false;
     place->since = offered.since;
     return true;
--- a/Source/Core/Control/ReaderElection.cpp
+++ b/Source/Core/Control/ReaderElection.cpp
@@ -100,11 +100,11 @@
   return now + pause / 2 + Milliseconds(jitter);
 }
 
-ReadingChange ReaderElection::OnTick(TimePoint answered, TimePoint now)
+ReadingChange ReaderElection::OnTick(TimePoint last_answer_at, TimePoint now)
 {
   if (m_is_reader)
   {
-    const bool is_failing = !IsFresh(now - std::max(answered, m_reading_since));
+    const bool is_failing = !IsFresh(now - std::max(last_answer_at, m_reading_since));
     if (!is_failing || !AreOthersFailing(now))
       return ReadingChange::None;
     m_is_reader = false;
--- a/Source/Core/Control/ReaderElection.h
+++ b/Source/Core/Control/ReaderElection.h
@@ -47,9 +47,9 @@
   // last answer `answer_age` ago.
   void OnReaderHeartbeat(ReaderRank rank, Common::Duration answer_age, Common::TimePoint now);
   // Takes over reading when the state from other readers is too old, and limits the number of
-  // readers while the platform answers none of them. `answered` is the time of the platform's last
-  // answer to this process.
-  ReadingChange OnTick(Common::TimePoint answered, Common::TimePoint now);
+  // readers while the platform answers none of them. `last_answer_at` is the time of the platform's
+  // last answer to this process.
+  ReadingChange OnTick(Common::TimePoint last_answer_at, Common::TimePoint now);
   bool IsReader() const { return m_is_reader; }
   // Whether this process relies on another reader.
   bool IsFollowing() const { return !m_is_reader && m_has_reader; }
--- a/Source/Core/Distribution/Exchange.cpp
+++ b/Source/Core/Distribution/Exchange.cpp
@@ -190,7 +190,7 @@
   for (const auto& [version, swarm] : m_swarms)
   {
     if (!swarm->IsHeld())
-      wake_by(std::min(now + TICK_PERIOD, std::max(now, swarm->NextTurnStart())));
+      wake_by(std::min(now + TICK_PERIOD, std::max(now, swarm->NextWaitingFetchAt())));
   }
   return next;
 }
--- a/Source/Core/Distribution/LinkTracker.h
+++ b/Source/Core/Distribution/LinkTracker.h
@@ -22,7 +22,7 @@
   void OnTransfer(Common::Duration took, std::size_t concurrent, Common::TimePoint now)
   {
     const auto count = static_cast<Common::Duration::rep>(std::max<std::size_t>(concurrent, 1));
-    m_samples[m_next] = {took / count, took > SLOW_FACTOR_HALVES * (count + MAX_REMOTE_SHARERS) *
+    m_samples[m_next] = {took / count, took > SLOW_FACTOR_TIMES_TWO * (count + MAX_REMOTE_SHARERS) *
                                                   m_piece_time / 2};
     m_next = (m_next + 1) % m_samples.size();
     m_count = std::min(m_count + 1, m_samples.size());
@@ -70,7 +70,7 @@
   // Maximum of the average number of transfers that share the link at the remote end.
   static constexpr int MAX_REMOTE_SHARERS = 3;
   // A transfer is slow if it takes more than 1.5 times (3 halves) the explained duration.
-  static constexpr int SLOW_FACTOR_HALVES = 3;
+  static constexpr int SLOW_FACTOR_TIMES_TWO = 3;
   static constexpr Common::Milliseconds SAMPLE_LIFETIME = Common::Milliseconds(10000);
 
   Common::Duration m_piece_time{};
--- a/Source/Core/Distribution/Swarm.cpp
+++ b/Source/Core/Distribution/Swarm.cpp
@@ -132,7 +132,7 @@
     if (m_held.Contains(piece))
       return;
     m_last_availability_at = now;
-    m_last_outside_availability_at = now;
+    m_last_new_piece_outside_at = now;
     m_has_yielded_to_origin_hall = false;
     if (m_available_outside_at[piece] == TimePoint())
       m_available_outside_at[piece] = now;
--- a/Source/Core/Distribution/Swarm.h
+++ b/Source/Core/Distribution/Swarm.h
@@ -127,7 +127,7 @@
 
   // Returns the earliest time at which OnTick may start a fetch that waits for this instance's turn
   // or, for the manifest, for the neighbours' announcements.
-  Common::TimePoint NextTurnStart() const { return m_next_turn_start; }
+  Common::TimePoint NextWaitingFetchAt() const { return m_next_waiting_fetch_at; }
   bool HasFetch(FetchId id) const { return m_fetches.contains(id); }
   const Common::Digest& Version() const { return m_version; }
   bool IsHeld() const { return m_manifest && m_held.IsFull(); }
@@ -330,13 +330,13 @@
   // plan was made, and the maximum delay, relative to the plan, of the arrivals that raised it.
   std::uint32_t m_plan_fetched_end = 0;
   Common::Duration m_origin_delay{};
-  // See NextTurnStart(); TimePoint::max() if there is no such time.
-  Common::TimePoint m_next_turn_start = Common::TimePoint::max();
+  // See NextWaitingFetchAt(); TimePoint::max() if there is no such time.
+  Common::TimePoint m_next_waiting_fetch_at = Common::TimePoint::max();
   Common::TimePoint m_resync_due{};
   Common::TimePoint m_origin_hall_contact_at{};
   // Time of the last announcement from another hall of a piece that this instance lacks. Also set
   // when this hall yields to the origin's hall after an outage.
-  Common::TimePoint m_last_outside_availability_at{};
+  Common::TimePoint m_last_new_piece_outside_at{};
   bool m_has_taken_over = false;
   // Set when the origin is available again after an outage and this hall has given the origin's
   // hall precedence; cleared when another hall announces a new piece.
--- a/Source/Core/Distribution/SwarmHalls.cpp
+++ b/Source/Core/Distribution/SwarmHalls.cpp
@@ -23,8 +23,8 @@
 // while its members answer, and while they are silent. A hall that answers delivers pieces as soon
 // as the origin does. Halls that took over from it during a 6 s outage fetched the same pieces
 // again after the outage, three times each.
-static constexpr int REACHABLE_HALL_PATIENCES = 20;
-static constexpr int SILENT_HALL_PATIENCES = 2;
+static constexpr int REACHABLE_HALL_PATIENCE_FACTOR = 20;
+static constexpr int SILENT_HALL_PATIENCE_FACTOR = 2;
 // Additional manifest ranks of the instances in other halls, so that the origin's hall has this
 // number of turns to fetch the manifest first.
 static constexpr std::uint32_t MANIFEST_EXTRA_TURNS = 2;
@@ -162,9 +162,10 @@
   // An announcement from another hall of a piece that this instance lacks restarts this wait. A
   // piece that the local hall fetches itself does not, except that the first one after an outage of
   // the origin may (see OnPieceInHall).
-  const Duration waited = now - std::max(m_last_outside_availability_at, m_view_confirmed_at);
-  const bool is_idle = waited >= (is_answering ? REACHABLE_HALL_PATIENCES : SILENT_HALL_PATIENCES) *
-                                     m_options.patience;
+  const Duration waited = now - std::max(m_last_new_piece_outside_at, m_view_confirmed_at);
+  const bool is_idle =
+      waited >= (is_answering ? REACHABLE_HALL_PATIENCE_FACTOR : SILENT_HALL_PATIENCE_FACTOR) *
+                    m_options.patience;
   // A takeover lasts until the origin's hall answers again.
   m_has_taken_over = is_idle || (m_has_taken_over && !is_answering);
   return m_has_taken_over;
@@ -235,7 +236,7 @@
     PlanFetches(now);
     // The piece is announced to the origin's hall too, and that hall takes precedence.
     if (!std::exchange(m_has_yielded_to_origin_hall, true))
-      m_last_outside_availability_at = now;
+      m_last_new_piece_outside_at = now;
   }
   else if (m_plan_position[piece] < m_plan_fetched_end)
   {
@@ -266,7 +267,7 @@
 {
   if (const TimePoint turn = TurnStart(piece); now < turn)
   {
-    m_next_turn_start = std::min(m_next_turn_start, turn);
+    m_next_waiting_fetch_at = std::min(m_next_waiting_fetch_at, turn);
     return std::nullopt;
   }
   if (IsInOriginHall() && may_use_origin)
--- a/Source/Core/Distribution/SwarmSchedule.cpp
+++ b/Source/Core/Distribution/SwarmSchedule.cpp
@@ -25,7 +25,7 @@
 {
   if (!m_last_availability_at)
     m_last_availability_at = now;
-  m_next_turn_start = TimePoint::max();
+  m_next_waiting_fetch_at = TimePoint::max();
   if (IsHallIncomplete(now))
     m_shared->incomplete_in_hall.insert(m_version);
   else
@@ -76,7 +76,7 @@
     StartFetch(MANIFEST_PIECE, "", now, actions);
   const TimePoint answer_due = m_view_confirmed_at + MANIFEST_REPLY_TIME;
   if (m_is_view_confirmed && now < answer_due)
-    m_next_turn_start = answer_due;
+    m_next_waiting_fetch_at = answer_due;
 }
 
 std::optional<std::uint32_t> Swarm::NextOriginPiece(TimePoint now, bool* is_takeover) const
--- a/Source/Core/Gateway/Gateway.cpp
+++ b/Source/Core/Gateway/Gateway.cpp
@@ -182,8 +182,8 @@
   if (!waiting || waiting->state != State::Waiting)
     return;
   Tracked& tracked = *waiting;
-  const TargetSummary survey = m_targets.SummaryOf(QueryFor(tracked), now);
-  const Duration wait = MaxWait(survey, WaitingCountOf(tracked.service),
+  const TargetSummary summary = m_targets.SummaryOf(QueryFor(tracked), now);
+  const Duration wait = MaxWait(summary, WaitingCountOf(tracked.service),
                                 m_targets.PassTimeOf(tracked.service), StartGoal(tracked));
   tracked.refuse_at = std::min(tracked.deadline, now + wait);
   m_timers.push({tracked.refuse_at, tracked.number});
--- a/Source/Core/Gateway/GatewayDispatch.cpp
+++ b/Source/Core/Gateway/GatewayDispatch.cpp
@@ -120,7 +120,7 @@
 
 void Gateway::ReportWork(const TargetId& id, Actions* actions) const
 {
-  if (const auto agent = m_targets.AgentOf(id))
+  if (const auto agent = m_targets.AgentAddressOf(id))
     actions->push_back(ReportWorkToAgent{*agent, m_targets.WorkAt(id)});
 }
 
--- a/Source/Core/Gateway/StartEstimate.cpp
+++ b/Source/Core/Gateway/StartEstimate.cpp
@@ -47,8 +47,8 @@
   return EngineMs(engine, engine.usual_prompt_tokens, engine.usual_answer_tokens);
 }
 
-Common::Duration EngineTime(const EngineProfile& engine, std::uint32_t prompt_tokens,
-                            std::uint32_t answer_tokens)
+Common::Duration EngineTimeUsed(const EngineProfile& engine, std::uint32_t prompt_tokens,
+                                std::uint32_t answer_tokens)
 {
   return ToDuration(EngineMs(engine, prompt_tokens, answer_tokens));
 }
--- a/Source/Core/Gateway/StartEstimate.h
+++ b/Source/Core/Gateway/StartEstimate.h
@@ -29,8 +29,8 @@
                                     std::uint32_t answer_tokens);
 // How much of an engine's time a request uses while all slots are in use. Its answer shares the
 // engine with those in the other slots; its prompt does not.
-Common::Duration EngineTime(const Settings::EngineProfile& engine, std::uint32_t prompt_tokens,
-                            std::uint32_t answer_tokens);
+Common::Duration EngineTimeUsed(const Settings::EngineProfile& engine, std::uint32_t prompt_tokens,
+                                std::uint32_t answer_tokens);
 // Mean time between the ends of two consecutive requests on a full engine. A waiting request gets
 // its slot after this interval times the number of requests ahead of it.
 Common::Duration SlotInterval(const Settings::EngineProfile& engine, double pace);
--- a/Source/Core/Gateway/TargetChoosing.cpp
+++ b/Source/Core/Gateway/TargetChoosing.cpp
@@ -248,8 +248,8 @@
 {
   using Seconds = std::chrono::duration<double>;
   const Seconds usual_time =
-      EngineTime(engine, engine.usual_prompt_tokens, engine.usual_answer_tokens);
-  const Seconds request_time = EngineTime(engine, query.prompt_tokens, query.answer_tokens);
+      EngineTimeUsed(engine, engine.usual_prompt_tokens, engine.usual_answer_tokens);
+  const Seconds request_time = EngineTimeUsed(engine, query.prompt_tokens, query.answer_tokens);
   const Seconds min_time = Duration(1);
   return std::clamp(usual_time / std::max(request_time, min_time), MIN_SIZE_WEIGHT,
                     MAX_SIZE_WEIGHT);
--- a/Source/Core/Gateway/TargetListing.cpp
+++ b/Source/Core/Gateway/TargetListing.cpp
@@ -36,18 +36,18 @@
 void TargetTable::SetList(const std::vector<ListedTarget>& list, TimePoint now)
 {
   const bool is_first = m_targets.empty();
-  std::set<TargetId> before;
+  std::set<TargetId> previously_listed;
   for (auto& [id, target] : m_targets)
   {
     const bool is_awaited = target.reported_at && now - *target.reported_at < MAX_UNLISTED_TIME;
     if (!is_awaited && std::exchange(target.is_on_list, false))
-      before.insert(id);
+      previously_listed.insert(id);
   }
   std::map<Common::Address, TargetId> added;
   for (const ListedTarget& listed : list)
   {
     Target& target = m_targets[listed.id];
-    const bool was_listed = before.erase(listed.id) > 0;
+    const bool was_listed = previously_listed.erase(listed.id) > 0;
     if (target.known_since == TimePoint())
       target.known_since = now;
     target.is_on_list = true;
@@ -68,7 +68,7 @@
     target.tie_break =
         std::chrono::nanoseconds(Common::StableHash(listed.id, m_seed) % MAX_TIE_BREAK_NS);
   }
-  for (const TargetId& id : before)
+  for (const TargetId& id : previously_listed)
   {
     LogEvent(Weight::Important, now, "target.gone", "target", id);
     m_departed_at[id] = now;
@@ -134,10 +134,10 @@
 {
   if (load.id.empty() || m_targets.contains(load.id) || m_departed_at.contains(load.id))
     return;
-  const TargetId before = FindPredecessor(load.address);
-  if (before.empty())
+  const TargetId predecessor = FindPredecessor(load.address);
+  if (predecessor.empty())
     return;
-  const Target& known = m_targets.at(before);
+  const Target& known = m_targets.at(predecessor);
   Target added;
   added.listed = known.listed;
   added.listed.id = load.id;
@@ -150,7 +150,7 @@
   added.tie_break = known.tie_break;
   m_targets[load.id] = std::move(added);
   LogEvent(Weight::Important, now, "target.reported", "target", load.id, "at",
-           load.address.ToString(), "before", before);
+           load.address.ToString(), "before", predecessor);
   MarkReplacedAt({{load.address, load.id}}, now);
 }
 
--- a/Source/Core/Gateway/TargetSubset.cpp
+++ b/Source/Core/Gateway/TargetSubset.cpp
@@ -39,8 +39,8 @@
 {
   // Targets by service and hall. Each gateway ranks them in a different order, which its seed
   // determines.
-  using Ranked = std::vector<std::pair<std::uint64_t, TargetId>>;
-  std::map<std::pair<std::string, std::string>, Ranked> groups;
+  using RankedTargets = std::vector<std::pair<std::uint64_t, TargetId>>;
+  std::map<std::pair<std::string, std::string>, RankedTargets> groups;
   for (const ListedTarget& target : list)
   {
     if (target.needs_weights)
--- a/Source/Core/Gateway/TargetTable.cpp
+++ b/Source/Core/Gateway/TargetTable.cpp
@@ -83,7 +83,7 @@
           static_cast<std::uint32_t>(found->second.unread_prompt_tokens)};
 }
 
-std::optional<Common::Address> TargetTable::AgentOf(const TargetId& id) const
+std::optional<Common::Address> TargetTable::AgentAddressOf(const TargetId& id) const
 {
   const auto found = m_targets.find(id);
   if (found == m_targets.end() || !found->second.listed.needs_weights)
--- a/Source/Core/Gateway/TargetTable.h
+++ b/Source/Core/Gateway/TargetTable.h
@@ -202,7 +202,7 @@
   GatewayWork WorkAt(const TargetId& id) const;
   // The address of a target that has an agent beside it, to which this gateway can announce its
   // work; empty if the target has no agent.
-  std::optional<Common::Address> AgentOf(const TargetId& id) const;
+  std::optional<Common::Address> AgentAddressOf(const TargetId& id) const;
 
 private:
   struct Target
--- a/Source/Core/Gateway/WaitLimit.cpp
+++ b/Source/Core/Gateway/WaitLimit.cpp
@@ -11,35 +11,36 @@
 // in time.
 static constexpr int LOADING_WAIT_DIVISOR = 2;
 
-static bool HasUsableTargets(const TargetSummary& survey)
+static bool HasUsableTargets(const TargetSummary& summary)
 {
-  return survey.open > 0 || survey.avoided > 0;
+  return summary.open > 0 || summary.avoided > 0;
 }
 
-Duration MaxWait(const TargetSummary& survey, std::size_t waiting, Duration pass,
+Duration MaxWait(const TargetSummary& summary, std::size_t waiting, Duration pass,
                  Duration start_goal)
 {
   // If a request gets no target within a pass, the overload is lasting, and a longer wait would
   // only delay the refusal.
-  if (HasUsableTargets(survey))
+  if (HasUsableTargets(summary))
     return pass;
   // A request waits for the loading only if the targets that load weights can run all waiting
   // requests afterwards. If only 1 of 200 targets is loading, requests beyond its capacity would
   // wait in vain.
-  if (survey.switching > 0 && static_cast<double>(waiting) <= survey.switching_capacity)
+  if (summary.switching > 0 && static_cast<double>(waiting) <= summary.switching_capacity)
     return start_goal / LOADING_WAIT_DIVISOR;
   // A gateway that has just started receives the target list and the load reports within moments.
-  if (survey.listed == 0 || survey.unreported > 0)
+  if (summary.listed == 0 || summary.unreported > 0)
     return pass;
   // All targets have weights that are too old, have no weights, or are leaving: no capacity is
   // about to become free.
   return Duration::zero();
 }
 
-ErrorKind RefusalReason(const TargetSummary& survey)
+ErrorKind RefusalReason(const TargetSummary& summary)
 {
-  const bool lacks_weights = survey.switching + survey.old_weights + survey.without_weights > 0 &&
-                             !HasUsableTargets(survey);
+  const bool lacks_weights =
+      summary.switching + summary.old_weights + summary.without_weights > 0 &&
+      !HasUsableTargets(summary);
   return lacks_weights ? ErrorKind::NoWeights : ErrorKind::QueueFull;
 }
 } // namespace Holdpost::Gateway
--- a/Source/Core/Gateway/WaitLimit.h
+++ b/Source/Core/Gateway/WaitLimit.h
@@ -13,8 +13,8 @@
 // The maximum time that a request waits. `waiting` is the number of requests that wait at this
 // gateway, including this one. `pass` is the time in which each target gets a chance to begin a new
 // request. `start_goal` is the time after its arrival by which the request has to begin.
-Common::Duration MaxWait(const TargetSummary& survey, std::size_t waiting, Common::Duration pass,
+Common::Duration MaxWait(const TargetSummary& summary, std::size_t waiting, Common::Duration pass,
                          Common::Duration start_goal);
 // The error kind with which a request that has waited in vain is refused.
-Common::ErrorKind RefusalReason(const TargetSummary& survey);
+Common::ErrorKind RefusalReason(const TargetSummary& summary);
 } // namespace Holdpost::Gateway
--- a/Source/Core/Sidecar/Sidecar.h
+++ b/Source/Core/Sidecar/Sidecar.h
@@ -270,7 +270,7 @@
   // Pieces that were found on the stage at the start. They are offered to the exchange once a
   // manifest is known.
   std::vector<std::uint32_t> m_found_staged;
-  bool m_has_listed = false;
+  bool m_has_listed_stage = false;
   bool m_is_listing = false;
   std::uint32_t m_found_in_flight = 0;
   std::optional<Gateway::TargetLoad> m_sent_load;
--- a/Source/Core/Sidecar/SidecarEngine.cpp
+++ b/Source/Core/Sidecar/SidecarEngine.cpp
@@ -97,7 +97,7 @@
   m_is_listing = false;
   if (const auto* pieces = std::get_if<std::vector<std::uint32_t>>(&event.result))
   {
-    m_has_listed = true;
+    m_has_listed_stage = true;
     m_found_staged = *pieces;
   }
 }
@@ -168,7 +168,7 @@
   if (LoadedVersion() >= m_wanted && swarm->IsHeld() && m_stage.IsStaged())
     return;
   // Pieces that an earlier incarnation of the sidecar left on the stage need not be fetched again.
-  if (!m_has_listed && !m_is_listing)
+  if (!m_has_listed_stage && !m_is_listing)
   {
     m_is_listing = true;
     actions->push_back(ListStaged{m_plan.model});
@@ -179,7 +179,7 @@
     actions->push_back(ReadStaged{m_plan.model, m_found_staged.back()});
     m_found_staged.pop_back();
   }
-  if (!m_has_listed || m_found_in_flight > 0)
+  if (!m_has_listed_stage || m_found_in_flight > 0)
     return;
   StageActions new_actions;
   m_stage.OnTick(*swarm, now, &new_actions);
--- a/Source/UnitTests/Core/Gateway/RouteTableTest.cpp
+++ b/Source/UnitTests/Core/Gateway/RouteTableTest.cpp
@@ -51,9 +51,9 @@
   Settings::Route route = MakeRoute("r", "a", "/");
   route.services = {{"blue", 90}, {"green", 10}, {"none", 0}};
   int green = 0;
-  for (std::uint64_t draw = 0; draw < 1000; ++draw)
+  for (std::uint64_t request_hash = 0; request_hash < 1000; ++request_hash)
   {
-    const std::string& service = RouteTable::ServiceFor(route, draw);
+    const std::string& service = RouteTable::ServiceFor(route, request_hash);
     CHECK(service != "none");
     green += service == "green" ? 1 : 0;
   }
--- a/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
+++ b/Source/UnitTests/Core/Sidecar/SidecarGatewaysTest.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 const Common::TimePoint START{std::chrono::hours(1)};
-const Address SEED{"10.0.1.1", 7700};
+const Address SEED_GATEWAY{"10.0.1.1", 7700};
 const Mesh::Sender GATEWAY{"front-1", "here", {"10.0.0.1", 7700}, 1};
 const Mesh::WeightsPlan PLAN{"llm", "m", 96, 24576, Milliseconds(300), {"10.9.0.1", 80}, "here"};
 
@@ -40,9 +40,14 @@
   }
 
   Common::Metrics metrics;
-  Holdpost::Sidecar::Sidecar sidecar{
-      {{"10.0.0.9", 7700}, "here", {"10.0.0.9", 8000}, "llm", 0, Milliseconds(8000), {SEED}},
-      metrics};
+  Holdpost::Sidecar::Sidecar sidecar{{{"10.0.0.9", 7700},
+                                      "here",
+                                      {"10.0.0.9", 8000},
+                                      "llm",
+                                      0,
+                                      Milliseconds(8000),
+                                      {SEED_GATEWAY}},
+                                     metrics};
   Common::TimePoint now = START;
   Actions actions;
 };
@@ -52,7 +57,7 @@
 {
   Fixture fixture;
   fixture.Tick(Milliseconds(0));
-  REQUIRE(fixture.ReceiversOf<Mesh::GatewaysRequest>() == std::vector{SEED});
+  REQUIRE(fixture.ReceiversOf<Mesh::GatewaysRequest>() == std::vector{SEED_GATEWAY});
 
   SUBCASE("and asks some of these gateways for a briefing, so that it need not wait until it is in "
           "the target list")
--- a/Source/UnitTests/Core/SwarmTest.cpp
+++ b/Source/UnitTests/Core/SwarmTest.cpp
@@ -106,7 +106,7 @@
   {
     f.FetchManifest({});
     f.AdvanceTime(Milliseconds(100));
-    CHECK(f.swarm->NextTurnStart() > f.now);
+    CHECK(f.swarm->NextWaitingFetchAt() > f.now);
   }
   SUBCASE("fetches immediately with a confirmed view, and holds the version when all pieces are "
           "verified")
